--- a/Makefile
+++ b/Makefile
@@ -3,13 +3,15 @@
 PROGRAMS := croftmoor croftctl croftfake croftload
 LINT_VERSION := v2.12.2
 LINT := $(CURDIR)/.tools/golangci-lint-$(LINT_VERSION)
+GOPLS_VERSION := v0.22.0
+GOPLS := $(CURDIR)/.tools/gopls-$(GOPLS_VERSION)
 
 # Tests of known faults, by the first word of each line of KNOWN-RED.txt: they are
 # passed over, and printed.
 RED := $(shell test ! -s KNOWN-RED.txt || cut -d' ' -f1 KNOWN-RED.txt | paste -sd'|')
 SKIP := $(if $(RED),-skip '^($(RED))$$')
 
-.PHONY: build test race models fuzz lint soak demo bench experiment experiment-short clean
+.PHONY: build test race models fuzz lint tools soak demo bench experiment experiment-short clean
 
 build:
 	@mkdir -p bin
@@ -27,6 +29,14 @@
 	GOWORK=off GOBIN=$(CURDIR)/.tools go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
 	@mv .tools/golangci-lint $(LINT)
 
+$(GOPLS):
+	@mkdir -p .tools
+	GOWORK=off GOBIN=$(CURDIR)/.tools go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	@mv .tools/gopls $(GOPLS)
+
+# What developers use beside the build: the linter, and gopls for renames.
+tools: $(LINT) $(GOPLS)
+
 lint: $(LINT)
 	@test -z "$$(gofmt -l $(MODULES))" || { echo "not formatted:"; gofmt -l $(MODULES); exit 1; }
 	@for m in $(MODULES); do (cd $$m && $(LINT) run --allow-parallel-runners --config $(CURDIR)/.golangci.yml ./...) || exit 1; done
