--- a/croftmoor/batch/actors.go
+++ b/croftmoor/batch/actors.go
@@ -29,7 +29,7 @@
 
 // at returns the instance that acts for each server of the view; instances that
 // were not heard since the given time count as gone.
-func (a *actors) at(b *jobs.Book, view *fleet.View, now, since clock.Millis) map[ident.BackendName]ident.InstanceName {
+func (a *actors) at(b *jobs.State, view *fleet.View, now, since clock.Millis) map[ident.BackendName]ident.InstanceName {
 	live := map[ident.InstanceName]ident.Zone{}
 	for _, m := range b.Live(since) {
 		live[m.Name] = m.Zone
@@ -58,7 +58,7 @@
 }
 
 // silentZones returns the zones that have fallen silent as a whole lately.
-func silentZones(b *jobs.Book, live map[ident.InstanceName]ident.Zone, from, since clock.Millis) map[ident.Zone]bool {
+func silentZones(b *jobs.State, live map[ident.InstanceName]ident.Zone, from, since clock.Millis) map[ident.Zone]bool {
 	zones := map[ident.Zone]bool{}
 	for _, m := range b.Members {
 		if !m.Over && !m.Leaving && m.Heard >= from && m.Heard < since {
--- a/croftmoor/batch/ahead_test.go
+++ b/croftmoor/batch/ahead_test.go
@@ -43,7 +43,7 @@
 				r := crowd(instances, 44, 1)
 				r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 				r.Blobs = blobs
-				r.Ledger.View(func(b *jobs.Book) {
+				r.Ledger.View(func(b *jobs.State) {
 					job := b.Jobs["job-0"]
 					waiting = job.Waiting
 					for i := range job.Items {
--- a/croftmoor/batch/alone.go
+++ b/croftmoor/batch/alone.go
@@ -33,7 +33,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var begin []claimed
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		s := r.survey(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
 		if s == nil {
 			return
@@ -171,7 +171,7 @@
 	var spans []jobs.Span
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		if job := b.Jobs[id]; job == nil || !job.Open() || job.Waiting == 0 {
 			return
 		}
@@ -226,7 +226,7 @@
 	var addresses []ident.Address
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		s := r.survey(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
 		if s == nil {
 			return
--- a/croftmoor/batch/away_test.go
+++ b/croftmoor/batch/away_test.go
@@ -67,7 +67,7 @@
 		r.Ledger, r.Engines, r.Blobs = awayLedger{ledger}, began, &itemBlobs{}
 		accept := jobs.Accept{Job: "job-0", Host: "h", Prefix: "/p/", Service: "models", Model: "m", Least: 2}
 		for i := range 160 {
-			accept.Items = append(accept.Items, jobs.Plan{ID: ident.Item(fmt.Sprintf("0-%d", i)), Expect: 100, Body: jobs.Span{First: ident.Offset(i), Count: 1}})
+			accept.Items = append(accept.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("0-%d", i)), Expect: 100, Body: jobs.Span{First: ident.Offset(i), Count: 1}})
 		}
 		ledger.book.Apply(ledger.book.Next+1, accept, r.Clock.Mono())
 		for m := range instances {
@@ -123,7 +123,7 @@
 	r := crowd(4, 4, 1)
 	r.Blobs = &silentBlobs{}
 	var item jobs.Item
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		item = b.Jobs["job-0"].Items[0]
 		for name, member := range b.Members {
 			member.Address = ident.Address(name)
--- a/croftmoor/batch/dealer.go
+++ b/croftmoor/batch/dealer.go
@@ -66,7 +66,7 @@
 	var claims []jobs.Claim
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		s := r.survey(b, table, r.Ledger.QuietSince())
 		if s == nil {
 			clear(r.idle)
--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -118,8 +118,8 @@
 // speed returns what the run tells of its engine, as if nothing had run beside.
 // The first event is left out, because it holds the wait for a slot and the
 // reading of the prompt.
-func (m *meter) speed(engine ident.BackendName) jobs.Speed {
-	return jobs.Speed{Engine: engine, Events: max(m.events-1, 0), Millis: int(float64(m.last-m.first) / m.crowd())}
+func (m *meter) speed(engine ident.BackendName) jobs.Timing {
+	return jobs.Timing{Engine: engine, Events: max(m.events-1, 0), Millis: int(float64(m.last-m.first) / m.crowd())}
 }
 
 // better tells whether the rest of a text should be made by another engine that
@@ -132,7 +132,7 @@
 		return false
 	}
 	other := 0.0
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		m.look(beside(b, c.item))
 		other = r.fastest(b, c, table.Services[c.accept.Service].Slots)
 	})
@@ -146,7 +146,7 @@
 }
 
 // beside returns what runs at an item's engine beside it.
-func beside(b *jobs.Book, item jobs.Item) jobs.Load {
+func beside(b *jobs.State, item jobs.Item) jobs.Load {
 	load := b.Loads[item.Engine]
 	return jobs.Load{Items: max(load.Items-1, 0), Expect: max(load.Expect-item.Expect, 0)}
 }
@@ -161,7 +161,7 @@
 
 // fastest returns the shortest expected time of an event at another engine that
 // could go on with the item; 0 if there is none.
-func (r *Runner) fastest(b *jobs.Book, c claimed, slots int) float64 {
+func (r *Runner) fastest(b *jobs.State, c claimed, slots int) float64 {
 	now := r.Clock.Mono()
 	best := 0.0
 	for _, m := range r.Fleet.View().Backends[c.accept.Service] {
--- a/croftmoor/batch/patient_test.go
+++ b/croftmoor/batch/patient_test.go
@@ -30,7 +30,7 @@
 			if c.change != nil {
 				c.change(s, job)
 			}
-			item := &jobs.Item{Plan: jobs.Plan{Expect: c.expect}}
+			item := &jobs.Item{ItemSpec: jobs.ItemSpec{Expect: c.expect}}
 			if got := s.patient(job, item); got != c.want {
 				t.Errorf("patient: %v, want %v", got, c.want)
 			}
--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -50,7 +50,7 @@
 		return
 	}
 	meter := &meter{clock: r.Clock, began: r.Clock.Mono()}
-	r.Ledger.View(func(b *jobs.Book) { meter.look(beside(b, c.item)) })
+	r.Ledger.View(func(b *jobs.State) { meter.look(beside(b, c.item)) })
 	if !made.whole {
 		if err := r.generate(ctx, item, made, meter); err != nil {
 			r.noteEnd(ctx, item, made, err)
@@ -142,7 +142,7 @@
 		slots = table.Services[c.accept.Service].Slots
 	}
 	running := 0
-	r.Ledger.View(func(b *jobs.Book) { running = b.Loads[c.item.Engine].Items })
+	r.Ledger.View(func(b *jobs.State) { running = b.Loads[c.item.Engine].Items })
 	if running > slots {
 		return queuedTerm
 	}
@@ -310,7 +310,7 @@
 // wanted tells whether an item may still be listed, as far as is known here.
 func (r *Runner) wanted(key jobs.ItemKey) bool {
 	wanted := false
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		job := b.Jobs[key.Job]
 		wanted = job != nil && !job.Ended && !job.Items[key.Index].Done
 	})
--- a/croftmoor/batch/progress.go
+++ b/croftmoor/batch/progress.go
@@ -74,7 +74,7 @@
 	p.group.Go(func() {
 		err := p.append(ctx, text, next)
 		if err == nil {
-			_, err = p.runner.Ledger.Append(ctx, jobs.Keep{Job: p.claim.key.Job, By: p.runner.Self, Index: p.claim.key.Index, Partial: p.partial()})
+			_, err = p.runner.Ledger.Append(ctx, jobs.SavePartial{Job: p.claim.key.Job, By: p.runner.Self, Index: p.claim.key.Index, Partial: p.partial()})
 		}
 		if err != nil && ctx.Err() == nil {
 			p.runner.Trail.Add(trail.Decision{ID: string(p.claim.item.ID), Action: trail.Hold, Choice: "progress not kept", Reason: err.Error()})
--- a/croftmoor/batch/race_test.go
+++ b/croftmoor/batch/race_test.go
@@ -21,7 +21,7 @@
 	random  *rand.Rand
 	log     []jobs.Record
 	runners []*Runner
-	books   []*jobs.Book
+	books   []*jobs.State
 	read    []int
 	// silent are instances that neither read nor write any more.
 	silent map[int]bool
@@ -39,7 +39,7 @@
 		r := crowd(instances, engines, 0)
 		r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 		r.Clock = s.clock
-		r.Ledger.View(func(b *jobs.Book) {
+		r.Ledger.View(func(b *jobs.State) {
 			b.Current = true
 			s.books = append(s.books, b)
 		})
@@ -106,7 +106,7 @@
 func (s *scene) accept(id ident.Job, items int) {
 	a := jobs.Accept{Job: id, Host: "h", Prefix: "/p/", Service: "models", Model: "m"}
 	for i := range items {
-		a.Items = append(a.Items, jobs.Plan{ID: ident.Item(fmt.Sprintf("%s-%d", id, i)), Group: ident.Group(fmt.Sprintf("g-%d", i/8)), Expect: ident.Tokens(50 + i)})
+		a.Items = append(a.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("%s-%d", id, i)), Group: ident.Group(fmt.Sprintf("g-%d", i/8)), Expect: ident.Tokens(50 + i)})
 	}
 	s.write(a)
 }
--- a/croftmoor/batch/runner.go
+++ b/croftmoor/batch/runner.go
@@ -142,7 +142,7 @@
 	open := map[ident.Job]bool{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		for _, id := range b.Order {
 			if b.Jobs[id].Open() {
 				open[id] = true
@@ -201,7 +201,7 @@
 
 // collect adds the items that this instance has claimed, and those that it runs
 // without a claim while nobody has claimed them; mu is held.
-func (r *Runner) collect(b *jobs.Book, mine map[jobs.ItemKey]claimed) {
+func (r *Runner) collect(b *jobs.State, mine map[jobs.ItemKey]claimed) {
 	add := func(key jobs.ItemKey, job *jobs.Job) {
 		mine[key] = claimed{key: key, item: job.Items[key.Index], accept: job.Accept}
 	}
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -16,7 +16,7 @@
 // survey is what a deal is made from, taken from one state of the ledger. It is
 // valid only while that state is viewed.
 type survey struct {
-	book    *jobs.Book
+	book    *jobs.State
 	pieces  []deal.Piece
 	added   bool
 	engines []deal.Engine
@@ -59,7 +59,7 @@
 // survey looks at the jobs that have items to share out and the engines that may
 // get them; instances that were not heard since the given time count as gone. It
 // returns nil if nothing waits; mu is held.
-func (r *Runner) survey(b *jobs.Book, table *paths.Table, since clock.Millis) *survey {
+func (r *Runner) survey(b *jobs.State, table *paths.Table, since clock.Millis) *survey {
 	s := &survey{
 		book: b, versions: map[jobs.EngineModel]ident.Version{}, services: map[ident.BackendName]ident.Service{},
 		accepts: map[ident.Job]jobs.Accept{}, silent: silentOwners(b, since), due: map[ident.Job]clock.Millis{}, now: r.Clock.Mono(),
@@ -83,7 +83,7 @@
 }
 
 // silentOwners returns the owners of claims that count as gone.
-func silentOwners(b *jobs.Book, since clock.Millis) map[ident.InstanceName]bool {
+func silentOwners(b *jobs.State, since clock.Millis) map[ident.InstanceName]bool {
 	silent := map[ident.InstanceName]bool{}
 	for owner := range b.Claims {
 		if !b.Alive(owner, since) {
@@ -213,7 +213,7 @@
 
 // Version returns the version of a model that an engine has, and whether it is
 // not just loading another one.
-func Version(b *jobs.Book, m fleet.Member, model ident.Model, now clock.Millis) (ident.Version, bool) {
+func Version(b *jobs.State, m fleet.Member, model ident.Model, now clock.Millis) (ident.Version, bool) {
 	key := jobs.EngineModel{Engine: ident.BackendName(m.Name), Model: model}
 	version := b.Has(key, m.Versions[model])
 	w := b.Weights[key]
--- a/croftmoor/batch/survey_bench_test.go
+++ b/croftmoor/batch/survey_bench_test.go
@@ -15,12 +15,12 @@
 
 // bookLedger is a ledger that is read to its end and takes nothing.
 type bookLedger struct {
-	book  *jobs.Book
+	book  *jobs.State
 	clock *clock.Clock
 }
 
-func (l *bookLedger) View(look func(*jobs.Book)) { look(l.book) }
-func (l *bookLedger) Changed() <-chan struct{}   { return nil }
+func (l *bookLedger) View(look func(*jobs.State)) { look(l.book) }
+func (l *bookLedger) Changed() <-chan struct{}    { return nil }
 func (l *bookLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
 	return l.book.Next, nil
 }
@@ -43,10 +43,10 @@
 	const zones, items = 4, 160
 	zone := func(i int) ident.Zone { return ident.Zone(fmt.Sprintf("z-%d", i%zones)) }
 	c := clock.New()
-	book := jobs.NewBook()
+	book := jobs.NewState()
 	apply := func(r jobs.Record) { book.Apply(book.Next+1, r, c.Mono()) }
 	for i := range instances {
-		apply(jobs.Beat{By: ident.InstanceName(fmt.Sprintf("front-%d", i)), Zone: zone(i)})
+		apply(jobs.Heartbeat{By: ident.InstanceName(fmt.Sprintf("front-%d", i)), Zone: zone(i)})
 	}
 	list := make([]fleet.Member, 0, engines)
 	for i := range engines {
@@ -58,7 +58,7 @@
 	for j := range open {
 		accept := jobs.Accept{Job: ident.Job(fmt.Sprintf("job-%d", j)), Host: "h", Prefix: "/p/", Service: "models", Model: "m", Wanted: 9}
 		for i := range items {
-			accept.Items = append(accept.Items, jobs.Plan{ID: ident.Item(fmt.Sprintf("%d-%d", j, i)), Group: ident.Group(fmt.Sprintf("g-%d", i/16)), Expect: 100})
+			accept.Items = append(accept.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("%d-%d", j, i)), Group: ident.Group(fmt.Sprintf("g-%d", i/16)), Expect: 100})
 		}
 		apply(accept)
 		for i := range items * 3 / 4 {
--- a/croftmoor/intake/intake.go
+++ b/croftmoor/intake/intake.go
@@ -53,7 +53,7 @@
 
 // Ledger is the shared state as this package uses it.
 type Ledger interface {
-	View(look func(*jobs.Book))
+	View(look func(*jobs.State))
 	Changed() <-chan struct{}
 	Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error)
 	// Age is how long ago the state was last known to be current.
@@ -174,7 +174,7 @@
 		return accept, fault.Wrap("intake.Submit", NotTaken, err, "job "+string(s.Job))
 	}
 	for n, item := range s.Items {
-		accept.Items = append(accept.Items, jobs.Plan{ID: item.ID, Group: item.Group, Expect: item.Expect, Body: spans[n]})
+		accept.Items = append(accept.Items, jobs.ItemSpec{ID: item.ID, Group: item.Group, Expect: item.Expect, Body: spans[n]})
 	}
 	return accept, nil
 }
@@ -183,7 +183,7 @@
 // another organisation keeps its id.
 func (i *Intake) known(by ident.Organisation, job ident.Job) (bool, error) {
 	known, seen := false, false
-	i.Ledger.View(func(b *jobs.Book) { known, seen = b.Jobs[job] != nil, visible(b, by, job) != nil })
+	i.Ledger.View(func(b *jobs.State) { known, seen = b.Jobs[job] != nil, visible(b, by, job) != nil })
 	if known && !seen {
 		return false, fault.New("intake.Submit", Invalid, "job "+string(job)+" has an id that is taken")
 	}
@@ -193,7 +193,7 @@
 // Listed is a result as callers read it.
 type Listed struct {
 	ID       ident.Item
-	State    jobs.State
+	State    jobs.Outcome
 	Text     string
 	Versions []ident.Version
 	Score    string
@@ -239,7 +239,7 @@
 }
 
 // visible returns a job if callers of an organisation may see it.
-func visible(b *jobs.Book, by ident.Organisation, job ident.Job) *jobs.Job {
+func visible(b *jobs.State, by ident.Organisation, job ident.Job) *jobs.Job {
 	if j := b.Jobs[job]; j != nil && access.Allows(by, j.Organisation) {
 		return j
 	}
@@ -247,7 +247,7 @@
 }
 
 func (i *Intake) results(by ident.Organisation, job ident.Job, from int) (results []listedResult, total int, known bool) {
-	i.Ledger.View(func(b *jobs.Book) {
+	i.Ledger.View(func(b *jobs.State) {
 		j := visible(b, by, job)
 		if j == nil {
 			return
@@ -326,7 +326,7 @@
 func (i *Intake) Body(ctx context.Context, by ident.Organisation, job ident.Job, id ident.Item) ([]byte, error) {
 	var span jobs.Span
 	known, found := false, false
-	i.Ledger.View(func(b *jobs.Book) {
+	i.Ledger.View(func(b *jobs.State) {
 		j := visible(b, by, job)
 		if j == nil {
 			return
@@ -357,7 +357,7 @@
 func (i *Intake) End(ctx context.Context, by ident.Organisation, job ident.Job) error {
 	ended := false
 	known := false
-	i.Ledger.View(func(b *jobs.Book) {
+	i.Ledger.View(func(b *jobs.State) {
 		if j := visible(b, by, job); j != nil {
 			known, ended = true, j.Ended
 		}
--- a/croftmoor/intake/intake_test.go
+++ b/croftmoor/intake/intake_test.go
@@ -13,13 +13,13 @@
 
 // agedLedger is in arrears.
 type agedLedger struct {
-	book *jobs.Book
+	book *jobs.State
 	age  clock.Millis
 }
 
-func (l agedLedger) View(look func(*jobs.Book)) { look(l.book) }
-func (l agedLedger) Changed() <-chan struct{}   { return nil }
-func (l agedLedger) Age() clock.Millis          { return l.age }
+func (l agedLedger) View(look func(*jobs.State)) { look(l.book) }
+func (l agedLedger) Changed() <-chan struct{}    { return nil }
+func (l agedLedger) Age() clock.Millis           { return l.age }
 func (l agedLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
 	return l.book.Next, nil
 }
@@ -30,8 +30,8 @@
 
 func TestReadInArrears(t *testing.T) {
 	c := clock.New()
-	book := jobs.NewBook()
-	book.Apply(1, jobs.Accept{Job: "j", Items: []jobs.Plan{{ID: "a"}}}, 0)
+	book := jobs.NewState()
+	book.Apply(1, jobs.Accept{Job: "j", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
 	cases := []struct {
 		name string
 		job  ident.Job
@@ -55,9 +55,9 @@
 }
 
 func TestJobsOfOthers(t *testing.T) {
-	book := jobs.NewBook()
-	book.Apply(1, jobs.Accept{Job: "theirs", Organisation: "shops", Items: []jobs.Plan{{ID: "a"}}}, 0)
-	book.Apply(2, jobs.Accept{Job: "anybody's", Items: []jobs.Plan{{ID: "b"}}}, 0)
+	book := jobs.NewState()
+	book.Apply(1, jobs.Accept{Job: "theirs", Organisation: "shops", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
+	book.Apply(2, jobs.Accept{Job: "anybody's", Items: []jobs.ItemSpec{{ID: "b"}}}, 0)
 	i := &Intake{Ledger: agedLedger{book, 0}, Clock: clock.New(), Trail: noDecisions{}}
 	cases := []struct {
 		name string
@@ -112,8 +112,8 @@
 }
 
 func TestPageThatFailsIsTold(t *testing.T) {
-	book := jobs.NewBook()
-	book.Apply(1, jobs.Accept{Job: "j", Items: []jobs.Plan{{ID: "a"}}}, 0)
+	book := jobs.NewState()
+	book.Apply(1, jobs.Accept{Job: "j", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
 	book.Apply(2, jobs.Claim{Job: "j", By: "me", Targets: []jobs.Target{{Index: 0}}}, 0)
 	book.Apply(3, jobs.Finish{Job: "j", By: "me", Index: 0, State: jobs.Completed, Texts: []jobs.Span{{Stream: "texts.0", First: 7, Count: 1}}}, 0)
 	left, leave := context.WithCancel(t.Context())
--- a/croftmoor/intake/page_test.go
+++ b/croftmoor/intake/page_test.go
@@ -89,8 +89,8 @@
 
 // longJobs returns a ledger with ended jobs j0, j1 and so on of so many results each, and
 // the number of records in the stream of each one's texts.
-func longJobs(count, items int) (*jobs.Book, int) {
-	book := jobs.NewBook()
+func longJobs(count, items int) (*jobs.State, int) {
+	book := jobs.NewState()
 	next := ident.Offset(1)
 	apply := func(record jobs.Record) {
 		book.Apply(next, record, 0)
@@ -100,7 +100,7 @@
 		job := jobNumber(k)
 		accept := jobs.Accept{Job: job}
 		for n := range items {
-			accept.Items = append(accept.Items, jobs.Plan{ID: ident.Item(fmt.Sprintf("%s-%d", job, n))})
+			accept.Items = append(accept.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("%s-%d", job, n))})
 		}
 		apply(accept)
 		for n := range items {
@@ -116,7 +116,7 @@
 func jobNumber(k int) ident.Job { return ident.Job(fmt.Sprintf("j%d", k)) }
 
 // instanceAt returns an instance that has none of the texts in its cache.
-func instanceAt(book *jobs.Book, log *slowLog) *Intake {
+func instanceAt(book *jobs.State, log *slowLog) *Intake {
 	return &Intake{
 		Ledger: agedLedger{book, 0}, Blobs: &blobs.Store{Reader: log, Clock: log.clock, CacheBytes: 4 << 20}, Clock: log.clock, Trail: noDecisions{},
 	}
--- a/croftmoor/intake/submit_test.go
+++ b/croftmoor/intake/submit_test.go
@@ -43,7 +43,7 @@
 		submission.Items = append(submission.Items, work.Item{ID: "a", Body: make([]byte, megabyte)})
 	}
 	i := &Intake{
-		Ledger: agedLedger{jobs.NewBook(), 0}, Clock: c, Trail: noDecisions{},
+		Ledger: agedLedger{jobs.NewState(), 0}, Clock: c, Trail: noDecisions{},
 		Blobs: slowBodies{clock: c, bytesPerSecond: 8 * megabyte},
 	}
 	if err := i.Submit(t.Context(), submission); err != nil {
--- a/croftmoor/lease/lease.go
+++ b/croftmoor/lease/lease.go
@@ -21,7 +21,7 @@
 
 // Ledger is the shared state as this package uses it.
 type Ledger interface {
-	View(look func(*jobs.Book))
+	View(look func(*jobs.State))
 	Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error)
 	Await(ctx context.Context, next ident.Offset) error
 	// Heard is how long ago this instance's last acknowledged sign of life was sent.
@@ -72,7 +72,7 @@
 
 // state is what one look at the ledger tells of the role.
 type state struct {
-	holding jobs.Holding
+	holding jobs.RoleHolder
 	// vacant tells that nobody who lives holds it.
 	vacant bool
 	turn   int
@@ -108,7 +108,7 @@
 
 func (l *Lease) look() state {
 	var s state
-	l.Ledger.View(func(b *jobs.Book) {
+	l.Ledger.View(func(b *jobs.State) {
 		s.holding = b.Holds[l.Role]
 		since := l.Ledger.Since()
 		holder := b.Members[s.holding.By]
@@ -154,7 +154,7 @@
 // Holds tells whether a fencing number that Hold returned still stands.
 func (l *Lease) Holds(fence ident.Fence) bool {
 	held := false
-	l.Ledger.View(func(b *jobs.Book) {
+	l.Ledger.View(func(b *jobs.State) {
 		h := b.Holds[l.Role]
 		held = h.By == l.Self && h.Fence == fence
 	})
--- a/croftmoor/lease/lease_test.go
+++ b/croftmoor/lease/lease_test.go
@@ -20,17 +20,17 @@
 // oneLedger applies what is appended at once, and knows how long ago this
 // instance's own sign of life was acknowledged.
 type oneLedger struct {
-	book    *jobs.Book
+	book    *jobs.State
 	clock   *clock.Clock
 	silence clock.Millis
 	since   clock.Millis
 }
 
 func newOne(c *clock.Clock, names ...ident.InstanceName) *oneLedger {
-	l := &oneLedger{book: jobs.NewBook(), clock: c}
+	l := &oneLedger{book: jobs.NewState(), clock: c}
 	l.book.Next = 1
 	for _, name := range names {
-		l.write(jobs.Beat{By: name, Zone: "z"})
+		l.write(jobs.Heartbeat{By: name, Zone: "z"})
 	}
 	return l
 }
@@ -39,7 +39,7 @@
 	l.book.Apply(l.book.Next, r, l.clock.Mono())
 }
 
-func (l *oneLedger) View(look func(*jobs.Book)) { look(l.book) }
+func (l *oneLedger) View(look func(*jobs.State)) { look(l.book) }
 
 func (l *oneLedger) Append(_ context.Context, records ...jobs.Record) (ident.Offset, error) {
 	first := l.book.Next
@@ -130,8 +130,8 @@
 			c := clock.NewManual(clock.Second)
 			book := newOne(c, "a~1")
 			book.write(jobs.Hold{Role: role, By: "a~1"})
-			book.write(jobs.Beat{By: "a~1", Zone: "z", Leaving: true})
-			book.write(jobs.Beat{By: tc.self, Zone: "z"})
+			book.write(jobs.Heartbeat{By: "a~1", Zone: "z", Leaving: true})
+			book.write(jobs.Heartbeat{By: tc.self, Zone: "z"})
 			l := &Lease{Role: role, Self: tc.self, Ledger: book, Clock: c, Trail: noDecisions{}, Term: term}
 			wantHeld(t, l, false)
 			c.Advance(max(tc.wait-1, 0))
--- a/croftmoor/lease/model_test.go
+++ b/croftmoor/lease/model_test.go
@@ -47,7 +47,7 @@
 	// clock is that of the machine.
 	clock  *clock.Clock
 	lives  int
-	book   *jobs.Book
+	book   *jobs.State
 	read   int
 	cut    bool
 	frozen bool
@@ -62,7 +62,7 @@
 
 func (w *world) begin(m *member) {
 	m.lives++
-	m.book, m.read, m.beaten, m.acted = jobs.NewBook(), 0, m.clock.Mono()-clock.Minute, 0
+	m.book, m.read, m.beaten, m.acted = jobs.NewState(), 0, m.clock.Mono()-clock.Minute, 0
 	m.lease = &Lease{
 		Role: role, Self: ident.InstanceName(fmt.Sprintf("%s~%d", m.name, m.lives)), Ledger: m, Clock: m.clock,
 		Trail: noDecisions{}, Term: modelTerm,
@@ -76,7 +76,7 @@
 	}
 }
 
-func (m *member) View(look func(*jobs.Book)) { look(m.book) }
+func (m *member) View(look func(*jobs.State)) { look(m.book) }
 
 var errAway = errors.New("the log does not answer")
 
@@ -119,7 +119,7 @@
 			if m.frozen {
 				continue
 			}
-			_, _ = m.Append(t.Context(), jobs.Beat{By: m.lease.Self, Zone: "z"})
+			_, _ = m.Append(t.Context(), jobs.Heartbeat{By: m.lease.Self, Zone: "z"})
 			m.follow()
 			if fence, ok := m.lease.Hold(t.Context()); ok && m.lease.Holds(fence) {
 				w.act(m, fence)
--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -80,7 +80,7 @@
 	quiet atomic.Int64
 
 	mu      sync.Mutex
-	book    *jobs.Book
+	book    *jobs.State
 	changed chan struct{}
 	hurry   chan struct{}
 	// read is when the log last answered, ended when an answer last reached the
@@ -103,7 +103,7 @@
 
 // Setup makes the ledger usable; it is called before Run.
 func (l *Ledger) Setup() {
-	l.book = jobs.NewBook()
+	l.book = jobs.NewState()
 	l.changed = make(chan struct{})
 	l.hurry = make(chan struct{}, 1)
 }
@@ -244,10 +244,10 @@
 }
 
 // sign returns a sign of life.
-func (l *Ledger) sign() jobs.Beat {
+func (l *Ledger) sign() jobs.Heartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return jobs.Beat{By: l.Self, Zone: l.Zone, Address: l.Address, Leaving: l.leaving || !l.current}
+	return jobs.Heartbeat{By: l.Self, Zone: l.Zone, Address: l.Address, Leaving: l.leaving || !l.current}
 }
 
 // Leave tells the others that this instance takes no more work.
@@ -287,7 +287,7 @@
 }
 
 // View calls look with the state, which must not be kept or changed.
-func (l *Ledger) View(look func(*jobs.Book)) {
+func (l *Ledger) View(look func(*jobs.State)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	look(l.book)
@@ -373,7 +373,7 @@
 	for {
 		changed := l.Changed()
 		reached := false
-		l.View(func(b *jobs.Book) { reached = b.Next >= next })
+		l.View(func(b *jobs.State) { reached = b.Next >= next })
 		if reached {
 			return nil
 		}
--- a/croftmoor/ledger/ledger_test.go
+++ b/croftmoor/ledger/ledger_test.go
@@ -18,7 +18,7 @@
 // signWriter takes signs of life.
 type signWriter struct {
 	mu    sync.Mutex
-	signs []jobs.Beat
+	signs []jobs.Heartbeat
 }
 
 func (w *signWriter) Write(_ context.Context, _ ident.Stream, records ...[]byte) (ident.Offset, error) {
@@ -26,7 +26,7 @@
 	defer w.mu.Unlock()
 	for _, data := range records {
 		record, err := jobs.Decode(data)
-		if sign, ok := record.(jobs.Beat); ok && err == nil {
+		if sign, ok := record.(jobs.Heartbeat); ok && err == nil {
 			w.signs = append(w.signs, sign)
 		}
 	}
@@ -67,16 +67,16 @@
 func TestArrears(t *testing.T) {
 	l := newLedger()
 	t.Run("a part of the stream does not make the state current", func(t *testing.T) {
-		l.apply(batch(1, 5, jobs.Beat{By: "b~1"}))
+		l.apply(batch(1, 5, jobs.Heartbeat{By: "b~1"}))
 		assertState(t, l, false, false)
 	})
 	t.Run("its end does", func(t *testing.T) {
-		l.apply(batch(2, 5, jobs.Beat{By: "b~1"}, jobs.Beat{By: "b~1"}, jobs.Beat{By: "b~1"}))
+		l.apply(batch(2, 5, jobs.Heartbeat{By: "b~1"}, jobs.Heartbeat{By: "b~1"}, jobs.Heartbeat{By: "b~1"}))
 		assertState(t, l, true, false)
 	})
 	t.Run("answers that stay behind the end let it age", func(t *testing.T) {
 		time.Sleep(freshTerm.Duration() + 100*time.Millisecond)
-		l.apply(batch(5, 900, jobs.Beat{By: "b~1"}))
+		l.apply(batch(5, 900, jobs.Heartbeat{By: "b~1"}))
 		assertState(t, l, false, false)
 	})
 	t.Run("silence is the log being away", func(t *testing.T) {
@@ -94,10 +94,10 @@
 	group.Go(func() { l.beat(ctx) })
 	defer group.Wait()
 	defer stop()
-	l.apply(batch(1, 5, jobs.Beat{By: "b~1"}))
+	l.apply(batch(1, 5, jobs.Heartbeat{By: "b~1"}))
 	time.Sleep(5 * leastPause.Duration())
 	writer.assertLast(t, 1, true)
-	l.apply(batch(2, 3, jobs.Beat{By: "b~1"}))
+	l.apply(batch(2, 3, jobs.Heartbeat{By: "b~1"}))
 	time.Sleep(5 * leastPause.Duration())
 	writer.assertLast(t, 2, false)
 }
@@ -108,7 +108,7 @@
 func TestAnswerThatWaited(t *testing.T) {
 	l := newLedger()
 	l.Clock = clock.NewManual(clock.Minute)
-	l.apply(batch(1, 2, jobs.Beat{By: "b~1"}))
+	l.apply(batch(1, 2, jobs.Heartbeat{By: "b~1"}))
 	assertState(t, l, true, false)
 	asked := l.Clock.Mono()
 	l.Clock.Advance(5700)
--- a/croftmoor/scaler/scaler.go
+++ b/croftmoor/scaler/scaler.go
@@ -54,7 +54,7 @@
 
 // Ledger is the shared state as this package uses it.
 type Ledger interface {
-	View(look func(*jobs.Book))
+	View(look func(*jobs.State))
 	Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error)
 	Await(ctx context.Context, next ident.Offset) error
 	Fresh() bool
@@ -147,7 +147,7 @@
 // that a new holder knows the need.
 func (s *Scaler) note(table *paths.Table) {
 	items := map[ident.Service]int{}
-	s.Ledger.View(func(b *jobs.Book) {
+	s.Ledger.View(func(b *jobs.State) {
 		for _, id := range b.Order {
 			if job := b.Jobs[id]; job.Open() {
 				items[job.Service] += len(job.Items) - len(job.Results)
--- a/croftmoor/scaler/scaler_test.go
+++ b/croftmoor/scaler/scaler_test.go
@@ -21,11 +21,11 @@
 
 // oneLedger applies what is appended at once.
 type oneLedger struct {
-	book  *jobs.Book
+	book  *jobs.State
 	clock *clock.Clock
 }
 
-func (l *oneLedger) View(look func(*jobs.Book)) { look(l.book) }
+func (l *oneLedger) View(look func(*jobs.State)) { look(l.book) }
 
 func (l *oneLedger) Append(_ context.Context, records ...jobs.Record) (ident.Offset, error) {
 	first := l.book.Next
@@ -72,7 +72,7 @@
 func newScene(t *testing.T) *scene {
 	t.Helper()
 	c := clock.NewManual(clock.Minute)
-	s := &scene{t: t, clock: c, ledger: &oneLedger{book: jobs.NewBook(), clock: c}, fleet: &fleet.Table{Clock: c}}
+	s := &scene{t: t, clock: c, ledger: &oneLedger{book: jobs.NewState(), clock: c}, fleet: &fleet.Table{Clock: c}}
 	s.ledger.book.Next = 1
 	s.cloud = &cloud{scene: s, held: map[ident.Zone]int{}, dry: map[ident.Zone]bool{}}
 	routes := paths.NewTable(1, nil, []paths.Service{{Name: "model", Slots: 2, Scaling: &scale.Limits{
@@ -107,7 +107,7 @@
 func (s *scene) pass(span clock.Millis) {
 	for ; span > 0; span -= period {
 		s.clock.Advance(period)
-		_, _ = s.ledger.Append(s.t.Context(), jobs.Beat{By: "i~1", Zone: "a"})
+		_, _ = s.ledger.Append(s.t.Context(), jobs.Heartbeat{By: "i~1", Zone: "a"})
 		s.scaler.round(s.t.Context())
 	}
 }
@@ -117,7 +117,7 @@
 func (s *scene) step() {
 	accept := jobs.Accept{Job: "j", Service: "model"}
 	for n := range 40 {
-		accept.Items = append(accept.Items, jobs.Plan{ID: ident.Item(fmt.Sprintf("i-%d", n))})
+		accept.Items = append(accept.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("i-%d", n))})
 	}
 	_, _ = s.ledger.Append(s.t.Context(), accept)
 }
--- a/croftmoor/swaps/hold_test.go
+++ b/croftmoor/swaps/hold_test.go
@@ -18,13 +18,13 @@
 
 // bookLedger applies what is appended at once.
 type bookLedger struct {
-	book  *jobs.Book
+	book  *jobs.State
 	clock *clock.Clock
 	// silence is how long ago the last sign of life was acknowledged.
 	silence clock.Millis
 }
 
-func (l *bookLedger) View(look func(*jobs.Book)) { look(l.book) }
+func (l *bookLedger) View(look func(*jobs.State)) { look(l.book) }
 
 func (l *bookLedger) Append(_ context.Context, records ...jobs.Record) (ident.Offset, error) {
 	first := l.book.Next
@@ -66,7 +66,7 @@
 func newLone(t *testing.T) *lone {
 	t.Helper()
 	c := clock.New()
-	l := &lone{ledger: &bookLedger{book: jobs.NewBook(), clock: c}, engines: &orderedEngines{}}
+	l := &lone{ledger: &bookLedger{book: jobs.NewState(), clock: c}, engines: &orderedEngines{}}
 	l.ledger.book.Next = 1
 	table := &fleet.Table{Clock: c}
 	table.Set([]fleet.Member{{Name: "e", Service: "model", Zone: "z", Address: "127.0.0.1:1"}})
@@ -78,7 +78,7 @@
 	}
 	l.keeper.setup()
 	for _, name := range []ident.InstanceName{"a~1", "b~1"} {
-		_, _ = l.ledger.Append(t.Context(), jobs.Beat{By: name, Zone: "z"})
+		_, _ = l.ledger.Append(t.Context(), jobs.Heartbeat{By: name, Zone: "z"})
 	}
 	return l
 }
@@ -96,7 +96,7 @@
 func TestLeaseIsOfTheEngine(t *testing.T) {
 	l := newLone(t)
 	first := l.hold(t, "a~1")
-	_, _ = l.ledger.Append(t.Context(), jobs.Order{Role: role, Fence: first, Engine: "e", Model: "m", Version: 2})
+	_, _ = l.ledger.Append(t.Context(), jobs.LoadOrder{Role: role, Fence: first, Engine: "e", Model: "m", Version: 2})
 	second := l.hold(t, "b~1")
 	if wants := l.keeper.wanted(second); len(wants) > 0 {
 		t.Fatalf("engine e is ordered to load %s within the lease of another holder's order", wants[0].key.Model)
@@ -155,8 +155,8 @@
 func TestNewLifeOfTheHolderFollowsFirst(t *testing.T) {
 	l := newLone(t)
 	first := l.hold(t, "b~1")
-	_, _ = l.ledger.Append(t.Context(), jobs.Order{Role: role, Fence: first, Engine: "e", Model: "m", Version: 2})
-	_, _ = l.ledger.Append(t.Context(), jobs.Beat{By: "b~2", Zone: "z"})
+	_, _ = l.ledger.Append(t.Context(), jobs.LoadOrder{Role: role, Fence: first, Engine: "e", Model: "m", Version: 2})
+	_, _ = l.ledger.Append(t.Context(), jobs.Heartbeat{By: "b~2", Zone: "z"})
 	l.keeper.Self = "b~2"
 	if wants := l.keeper.wanted(l.hold(t, "b~2")); len(wants) != 1 {
 		t.Errorf("%d orders of the new life to its own engine, want 1", len(wants))
--- a/croftmoor/swaps/order.go
+++ b/croftmoor/swaps/order.go
@@ -38,7 +38,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, appendTerm.Duration())
 	defer cancel()
-	record := jobs.Order{Role: role, Fence: fence, Engine: w.key.Engine, Model: w.key.Model, Version: w.version}
+	record := jobs.LoadOrder{Role: role, Fence: fence, Engine: w.key.Engine, Model: w.key.Model, Version: w.version}
 	offset, err := k.Ledger.Append(callCtx, record)
 	if err == nil {
 		err = k.Ledger.Await(callCtx, offset+1)
--- a/croftmoor/swaps/survey.go
+++ b/croftmoor/swaps/survey.go
@@ -16,7 +16,7 @@
 // and the keeper's mu is held.
 type survey struct {
 	keeper  *Keeper
-	book    *jobs.Book
+	book    *jobs.State
 	service paths.Service
 	engines []fleet.Member
 	fence   ident.Fence
--- a/croftmoor/swaps/swaps.go
+++ b/croftmoor/swaps/swaps.go
@@ -78,7 +78,7 @@
 
 // Ledger is the shared state as this package uses it.
 type Ledger interface {
-	View(look func(*jobs.Book))
+	View(look func(*jobs.State))
 	Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error)
 	Await(ctx context.Context, next ident.Offset) error
 	Fresh() bool
@@ -199,7 +199,7 @@
 	var begin []want
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.Ledger.View(func(b *jobs.Book) {
+	k.Ledger.View(func(b *jobs.State) {
 		for name, service := range table.Services {
 			engines := slices.DeleteFunc(slices.Clone(view.Backends[name]), func(m fleet.Member) bool { return m.State == fleet.Leaving })
 			free := max(leastAtOnce, regular(engines)/shareAtOnce) - k.loadingAt(engines, now)
@@ -254,7 +254,7 @@
 // leased tells whether the holder with a fencing number may order an engine: the
 // last order of another instance, of whatever model, is a lease term ago. Earlier
 // lives of this instance have ended, and count as itself.
-func (k *Keeper) leased(b *jobs.Book, engine ident.BackendName, fence ident.Fence, now clock.Millis) bool {
+func (k *Keeper) leased(b *jobs.State, engine ident.BackendName, fence ident.Fence, now clock.Millis) bool {
 	last := b.LastOrders[engine.ListName()]
 	own := last.Fence == fence || (k.Without.On(toggle.Succession) && last.By.ListName() == k.Self.ListName())
 	return last.Fence == 0 || own || now-last.Seen >= k.LeaseTerm
--- a/croftmoor/usage/meter.go
+++ b/croftmoor/usage/meter.go
@@ -88,8 +88,8 @@
 	defer m.mu.Unlock()
 	var records []jobs.Record
 	for window, counts := range m.counts {
-		used := jobs.WindowUse{Counts: counts}
-		records = append(records, jobs.Used{By: m.Self, Window: window, Counts: used.Sorted()})
+		used := jobs.WindowUsage{Counts: counts}
+		records = append(records, jobs.UsageDelta{By: m.Self, Window: window, Counts: used.Sorted()})
 	}
 	m.counts = nil
 	return records
--- a/croftmoor/usage/reporter.go
+++ b/croftmoor/usage/reporter.go
@@ -90,12 +90,12 @@
 func (r *Reporter) settle(ctx context.Context, fence ident.Fence) {
 	now := r.Wall.Now()
 	var records []jobs.Record
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		whole := r.Ledger.Steady() >= steadyTerm && allHeard(b, r.Clock.Mono())
 		for _, w := range r.windows(b, now) {
 			use := b.Use[w]
 			if (use == nil || !use.Settled) && r.complete(b, w) && settles(now-r.Terms.end(w), r.Terms.Due, whole) {
-				records = append(records, jobs.Usage{Role: role, Fence: fence, Window: w, Counts: use.Sorted()})
+				records = append(records, jobs.UsageTotal{Role: role, Fence: fence, Window: w, Counts: use.Sorted()})
 			}
 		}
 	})
@@ -109,22 +109,22 @@
 		err = r.Ledger.Await(callCtx, offset+ident.Offset(len(records)))
 	}
 	for _, record := range records {
-		r.note(record.(jobs.Usage).Window, trail.Grant, "settled", fmt.Sprintf("%d ms after its end, %d organisations, fence %d, error %v",
-			now-r.Terms.end(record.(jobs.Usage).Window), len(record.(jobs.Usage).Counts), fence, err))
+		r.note(record.(jobs.UsageTotal).Window, trail.Grant, "settled", fmt.Sprintf("%d ms after its end, %d organisations, fence %d, error %v",
+			now-r.Terms.end(record.(jobs.UsageTotal).Window), len(record.(jobs.UsageTotal).Counts), fence, err))
 	}
 }
 
 // complete tells whether all that was told of a window can have been read. Of one that
 // an earlier holder settled before the log dropped its history only late counts may be
 // left; to settle it anew would report it twice with different counts.
-func (r *Reporter) complete(b *jobs.Book, w ident.Window) bool {
+func (r *Reporter) complete(b *jobs.State, w ident.Window) bool {
 	at, found := r.Ledger.Gap()
 	return wholeHistory(b, w, found, r.Terms.at(r.Wall.At(at)))
 }
 
 // windows returns the windows that have ended and are still reported, oldest first:
 // from the first one in which anything began.
-func (r *Reporter) windows(b *jobs.Book, now clock.Millis) []ident.Window {
+func (r *Reporter) windows(b *jobs.State, now clock.Millis) []ident.Window {
 	first := r.Terms.at(now)
 	for w := range b.Use {
 		first = min(first, w)
@@ -141,7 +141,7 @@
 func (r *Reporter) unreported(fence ident.Fence) []Report {
 	var reports []Report
 	now := r.Wall.Now()
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		for _, w := range r.windows(b, now) {
 			if use := b.Use[w]; use != nil && use.Settled && !use.Reported {
 				reports = append(reports, Report{Holder: r.Self, Fence: fence, Window: w, Counts: slices.Clone(use.Sum)})
@@ -178,7 +178,7 @@
 	r.note(report.Window, trail.Hand, event, fmt.Sprintf("%d ms after its end, fence %d", late, report.Fence))
 	appendCtx, stop := context.WithTimeout(ctx, appendTerm.Duration())
 	defer stop()
-	offset, err := r.Ledger.Append(appendCtx, jobs.Reported{Window: report.Window})
+	offset, err := r.Ledger.Append(appendCtx, jobs.UsageReported{Window: report.Window})
 	if err == nil {
 		err = r.Ledger.Await(appendCtx, offset+1)
 	}
@@ -191,7 +191,7 @@
 // warn tells of windows that are about to be missed, once each.
 func (r *Reporter) warn() {
 	now := r.Wall.Now()
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		for _, w := range r.windows(b, now) {
 			use := b.Use[w]
 			if (use != nil && use.Reported) || now < r.Terms.end(w)+r.Terms.Due-warnTerm || r.warned[w] {
--- a/croftmoor/usage/settle.go
+++ b/croftmoor/usage/settle.go
@@ -37,7 +37,7 @@
 }
 
 // allHeard tells whether every instance that may have counted has been heard lately.
-func allHeard(b *jobs.Book, now clock.Millis) bool {
+func allHeard(b *jobs.State, now clock.Millis) bool {
 	for _, m := range b.Members {
 		silence := now - m.Heard
 		if !m.Over && !m.Leaving && silence > missedTerm && silence < goneTerm {
@@ -50,7 +50,7 @@
 // wholeHistory tells whether all records of a window are known to have been read. They
 // are if nothing was found to be missing, if the window began after that was found, or if
 // the history that is left reaches back far enough.
-func wholeHistory(b *jobs.Book, w ident.Window, missing bool, foundIn ident.Window) bool {
+func wholeHistory(b *jobs.State, w ident.Window, missing bool, foundIn ident.Window) bool {
 	if !missing || w > foundIn {
 		return true
 	}
--- a/croftmoor/usage/usage.go
+++ b/croftmoor/usage/usage.go
@@ -46,7 +46,7 @@
 
 // Ledger is the shared state as this package uses it.
 type Ledger interface {
-	View(look func(*jobs.Book))
+	View(look func(*jobs.State))
 	Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error)
 	Await(ctx context.Context, next ident.Offset) error
 	Fresh() bool
--- a/croftmoor/usage/usage_test.go
+++ b/croftmoor/usage/usage_test.go
@@ -23,14 +23,14 @@
 
 // oneLedger applies what is appended at once, unless it is away.
 type oneLedger struct {
-	book  *jobs.Book
+	book  *jobs.State
 	clock *clock.Clock
 	away  bool
 	// gap is when records were found missing; 0 is never.
 	gap clock.Millis
 }
 
-func (l *oneLedger) View(look func(*jobs.Book)) { look(l.book) }
+func (l *oneLedger) View(look func(*jobs.State)) { look(l.book) }
 
 func (l *oneLedger) Append(_ context.Context, records ...jobs.Record) (ident.Offset, error) {
 	if l.away {
@@ -91,7 +91,7 @@
 func newScene(t *testing.T) *scene {
 	t.Helper()
 	c := clock.NewManual(1000 * clock.Second)
-	s := &scene{t: t, clock: c, ledger: &oneLedger{book: jobs.NewBook(), clock: c}, api: &api{}}
+	s := &scene{t: t, clock: c, ledger: &oneLedger{book: jobs.NewState(), clock: c}, api: &api{}}
 	s.ledger.book.Next = 1
 	s.meter = &Meter{Self: "a~1", Ledger: s.ledger, Clock: c, Wall: manualWall{c}, Terms: terms, Log: zerolog.Nop()}
 	s.meter.Setup()
@@ -113,7 +113,7 @@
 }
 
 func (s *scene) live() {
-	_, _ = s.ledger.Append(s.t.Context(), jobs.Beat{By: s.reporter.Self, Zone: "z"})
+	_, _ = s.ledger.Append(s.t.Context(), jobs.Heartbeat{By: s.reporter.Self, Zone: "z"})
 }
 
 // pass lets time go by in rounds of the reporter.
@@ -166,12 +166,12 @@
 		s := newScene(t)
 		s.use("shops", 1)
 		s.pass(terms.Window - 200)
-		_, _ = s.ledger.Append(t.Context(), jobs.Beat{By: "cut~1", Zone: "y"})
+		_, _ = s.ledger.Append(t.Context(), jobs.Heartbeat{By: "cut~1", Zone: "y"})
 		s.pass(soonTerm + clock.Second)
 		if len(s.api.taken) != 0 {
 			t.Fatal("reported while an instance was silent")
 		}
-		_, _ = s.ledger.Append(t.Context(), jobs.Used{By: "cut~1", Window: 200, Counts: []jobs.Count{{Organisation: "shops", Requests: 4}}})
+		_, _ = s.ledger.Append(t.Context(), jobs.UsageDelta{By: "cut~1", Window: 200, Counts: []jobs.Count{{Organisation: "shops", Requests: 4}}})
 		s.pass(terms.Due - sendTerm - soonTerm)
 		s.wantReport(0, []jobs.Count{{Organisation: "shops", Requests: 5}})
 	})
@@ -187,9 +187,9 @@
 			t.Fatal("the sum is not settled")
 		}
 		s.use("shops", 7)
-		_, _ = s.ledger.Append(t.Context(), jobs.Used{By: "late~1", Window: 200, Counts: []jobs.Count{{Organisation: "shops", Requests: 9}}})
+		_, _ = s.ledger.Append(t.Context(), jobs.UsageDelta{By: "late~1", Window: 200, Counts: []jobs.Count{{Organisation: "shops", Requests: 9}}})
 		first := s.ledger.book.Holds[role].Fence
-		_, _ = s.ledger.Append(t.Context(), jobs.Beat{By: "a~1", Zone: "z", Leaving: true})
+		_, _ = s.ledger.Append(t.Context(), jobs.Heartbeat{By: "a~1", Zone: "z", Leaving: true})
 		s.reporter = s.holder("b~1")
 		s.api.fails = nil
 		s.live()
@@ -232,7 +232,7 @@
 	defer l.mu.Unlock()
 	l.appends++
 	for _, r := range records {
-		used, _ := r.(jobs.Used)
+		used, _ := r.(jobs.UsageDelta)
 		for _, c := range used.Counts {
 			l.requests += c.Requests
 		}
@@ -274,9 +274,9 @@
 func TestDroppedHistoryIsNotReportedAnew(t *testing.T) {
 	s := newScene(t)
 	s.pass(terms.Window - 200)
-	s.ledger.book.Use = map[ident.Window]*jobs.WindowUse{}
+	s.ledger.book.Use = map[ident.Window]*jobs.WindowUsage{}
 	s.ledger.gap = s.clock.Mono()
-	_, _ = s.ledger.Append(t.Context(), jobs.Used{By: "late~1", Window: 200, Counts: []jobs.Count{{Organisation: "shops", Requests: 1}}})
+	_, _ = s.ledger.Append(t.Context(), jobs.UsageDelta{By: "late~1", Window: 200, Counts: []jobs.Count{{Organisation: "shops", Requests: 1}}})
 	s.pass(400)
 	s.use("shops", 2)
 	s.pass(2 * terms.Due)
@@ -308,8 +308,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := jobs.NewBook()
-			b.Use[c.known] = &jobs.WindowUse{}
+			b := jobs.NewState()
+			b.Use[c.known] = &jobs.WindowUsage{}
 			if got := wholeHistory(b, c.window, c.missing, found); got != c.want {
 				t.Errorf("%v, want %v", got, c.want)
 			}
@@ -354,7 +354,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := jobs.NewBook()
+			b := jobs.NewState()
 			b.Members["m"] = &c.member
 			if got := allHeard(b, now); got != c.want {
 				t.Errorf("%v, want %v", got, c.want)
--- a/kernel/jobs/book.go
+++ b/kernel/jobs/book.go
@@ -7,7 +7,7 @@
 
 // Item is an item's state.
 type Item struct {
-	Plan
+	ItemSpec
 	// Owner, Engine and Claim are the claim that stands; Claim is 0 if none does.
 	Owner  ident.InstanceName
 	Engine ident.BackendName
@@ -74,8 +74,8 @@
 	Heard clock.Millis
 }
 
-// Holding is the hold on a role that stands.
-type Holding struct {
+// RoleHolder is the hold on a role that stands.
+type RoleHolder struct {
 	By    ident.InstanceName
 	Fence ident.Fence
 }
@@ -100,8 +100,8 @@
 
 // Has returns the version of a model that an engine has, as far as the ledger or
 // the engine itself, whose word may be older, have told.
-func (b *Book) Has(key EngineModel, told ident.Version) ident.Version {
-	return max(b.Weights[key].Version, told)
+func (s *State) Has(key EngineModel, told ident.Version) ident.Version {
+	return max(s.Weights[key].Version, told)
 }
 
 // EngineModel names a model's weights on an engine.
@@ -123,13 +123,13 @@
 	PerEvent float64
 }
 
-// Book is the folded state. It has no lock of its own. Records must be applied
+// State is the folded state. It has no lock of its own. Records must be applied
 // in the order of their offsets.
-type Book struct {
+type State struct {
 	Jobs    map[ident.Job]*Job
 	Order   []ident.Job
 	Members map[ident.InstanceName]*Member
-	Holds   map[string]Holding
+	Holds   map[string]RoleHolder
 	Weights map[EngineModel]Weights
 	// LastOrders holds the last order to each engine, by the name under which it is
 	// listed: a lease ends with its term, not with a start of the engine.
@@ -147,81 +147,81 @@
 	// Kept finds the newest job that has an item, for items brought back.
 	Kept map[ident.Item]ident.Job
 	// Use is what is known of each window of use.
-	Use  map[ident.Window]*WindowUse
+	Use  map[ident.Window]*WindowUsage
 	Next ident.Offset
 }
 
-// NewBook returns an empty state.
-func NewBook() *Book {
-	return &Book{
-		Jobs: map[ident.Job]*Job{}, Members: map[ident.InstanceName]*Member{}, Holds: map[string]Holding{},
+// NewState returns an empty state.
+func NewState() *State {
+	return &State{
+		Jobs: map[ident.Job]*Job{}, Members: map[ident.InstanceName]*Member{}, Holds: map[string]RoleHolder{},
 		Weights: map[EngineModel]Weights{}, LastOrders: map[string]LastOrder{}, Loads: map[ident.BackendName]Load{}, Paces: map[ident.BackendName]Pace{},
 		Kept: map[ident.Item]ident.Job{}, Avoided: map[ident.BackendName]clock.Millis{},
 		Claims: map[ident.InstanceName]map[ItemKey]struct{}{}, Faults: map[ident.BackendName]float64{},
-		Use: map[ident.Window]*WindowUse{},
+		Use: map[ident.Window]*WindowUsage{},
 	}
 }
 
 // Apply folds the record at offset. Now is the reader's own steady time; it
 // never decides what a record means.
-func (b *Book) Apply(offset ident.Offset, record Record, now clock.Millis) {
-	b.Next = offset + 1
+func (s *State) Apply(offset ident.Offset, record Record, now clock.Millis) {
+	s.Next = offset + 1
 	switch r := record.(type) {
 	case Accept:
-		b.accept(r, now)
+		s.accept(r, now)
 	case Claim:
-		b.claim(offset, r, now)
+		s.claim(offset, r, now)
 	case Yield:
-		b.yield(r, now)
-	case Keep:
-		b.keep(r, now)
+		s.yield(r, now)
+	case SavePartial:
+		s.keep(r, now)
 	case Finish:
-		b.finish(r, now)
+		s.finish(r, now)
 	case End:
-		b.end(r, now)
-	case Beat:
-		b.beat(r, now)
+		s.end(r, now)
+	case Heartbeat:
+		s.beat(r, now)
 	case Hold:
-		b.hold(offset, r, now)
-	case Order:
-		b.order(r, now)
+		s.hold(offset, r, now)
+	case LoadOrder:
+		s.order(r, now)
 	case Loaded:
-		b.loaded(r)
-	case Used, Usage, Reported:
-		b.applyUse(r)
+		s.loaded(r)
+	case UsageDelta, UsageTotal, UsageReported:
+		s.applyUse(r)
 	case Avoid:
-		b.avoid(r, now)
+		s.avoid(r, now)
 	case Defer:
-		b.defers(r, now)
+		s.defers(r, now)
 	}
 }
 
-func (b *Book) accept(a Accept, now clock.Millis) {
-	if b.Jobs[a.Job] != nil {
+func (s *State) accept(a Accept, now clock.Millis) {
+	if s.Jobs[a.Job] != nil {
 		return
 	}
 	job := &Job{
-		Accept: a, Seen: now, Backlog: !b.Current, Items: make([]Item, len(a.Items)), Waiting: len(a.Items),
+		Accept: a, Seen: now, Backlog: !s.Current, Items: make([]Item, len(a.Items)), Waiting: len(a.Items),
 		Longest: map[ident.Group]ident.Tokens{}, Brought: map[ident.Group]bool{},
 	}
 	for i, plan := range a.Items {
-		job.Items[i] = b.fresh(a, plan)
+		job.Items[i] = s.fresh(a, plan)
 		job.Longest[plan.Group] = max(job.Longest[plan.Group], plan.Expect)
 		if job.Items[i].Brought {
 			job.Brought[plan.Group] = true
 		}
-		b.Kept[plan.ID] = a.Job
+		s.Kept[plan.ID] = a.Job
 	}
 	job.Accept.Items = nil
-	b.Jobs[a.Job] = job
-	b.Order = append(b.Order, a.Job)
+	s.Jobs[a.Job] = job
+	s.Order = append(s.Order, a.Job)
 }
 
 // fresh returns an item as its job begins. If an earlier job had it, what was
 // kept of its text is taken over where the versions allow.
-func (b *Book) fresh(a Accept, plan Plan) Item {
-	item := Item{Plan: plan}
-	earlier := b.Jobs[b.Kept[plan.ID]]
+func (s *State) fresh(a Accept, plan ItemSpec) Item {
+	item := Item{ItemSpec: plan}
+	earlier := s.Jobs[s.Kept[plan.ID]]
 	if earlier == nil {
 		return item
 	}
@@ -235,69 +235,69 @@
 }
 
 // item returns the item if it can still get a result.
-func (b *Book) item(id ident.Job, index int) (*Job, *Item) {
-	job := b.Jobs[id]
+func (s *State) item(id ident.Job, index int) (*Job, *Item) {
+	job := s.Jobs[id]
 	if job == nil || index < 0 || index >= len(job.Items) || job.Items[index].Done {
 		return nil, nil
 	}
 	return job, &job.Items[index]
 }
 
-func (b *Book) claim(offset ident.Offset, c Claim, now clock.Millis) {
-	b.hear(c.Writer(), now)
+func (s *State) claim(offset ident.Offset, c Claim, now clock.Millis) {
+	s.hear(c.Writer(), now)
 	for _, t := range c.Targets {
-		job, item := b.item(c.Job, t.Index)
+		job, item := s.item(c.Job, t.Index)
 		if item == nil || job.Ended || item.Claim != t.Replaces {
 			continue
 		}
-		b.release(job, t.Index)
-		b.own(job, t.Index, c, offset)
+		s.release(job, t.Index)
+		s.own(job, t.Index, c, offset)
 	}
 }
 
 // own puts a claim on an item that has none.
-func (b *Book) own(job *Job, index int, c Claim, offset ident.Offset) {
+func (s *State) own(job *Job, index int, c Claim, offset ident.Offset) {
 	item := &job.Items[index]
 	item.Owner, item.Engine, item.Claim = c.By, c.Engine, offset
-	b.burden(item, 1)
+	s.burden(item, 1)
 	job.Waiting--
-	if b.Claims[c.By] == nil {
-		b.Claims[c.By] = map[ItemKey]struct{}{}
+	if s.Claims[c.By] == nil {
+		s.Claims[c.By] = map[ItemKey]struct{}{}
 	}
-	b.Claims[c.By][ItemKey{Job: job.Job, Index: index}] = struct{}{}
+	s.Claims[c.By][ItemKey{Job: job.Job, Index: index}] = struct{}{}
 }
 
 // release takes the claim that stands off an item.
-func (b *Book) release(job *Job, index int) {
+func (s *State) release(job *Job, index int) {
 	item := &job.Items[index]
 	if item.Claim == 0 {
 		return
 	}
-	b.burden(item, -1)
+	s.burden(item, -1)
 	job.Waiting++
-	delete(b.Claims[item.Owner], ItemKey{Job: job.Job, Index: index})
-	if len(b.Claims[item.Owner]) == 0 {
-		delete(b.Claims, item.Owner)
+	delete(s.Claims[item.Owner], ItemKey{Job: job.Job, Index: index})
+	if len(s.Claims[item.Owner]) == 0 {
+		delete(s.Claims, item.Owner)
 	}
 	item.Owner, item.Engine, item.Claim = "", "", 0
 }
 
 // burden adds an item to the load of its engine, or takes it off.
-func (b *Book) burden(item *Item, sign int) {
-	load := b.Loads[item.Engine]
+func (s *State) burden(item *Item, sign int) {
+	load := s.Loads[item.Engine]
 	load.Items += sign
 	load.Expect += ident.Tokens(sign) * item.Expect
 	if load.Items <= 0 {
-		delete(b.Loads, item.Engine)
+		delete(s.Loads, item.Engine)
 		return
 	}
-	b.Loads[item.Engine] = load
+	s.Loads[item.Engine] = load
 }
 
-func (b *Book) yield(y Yield, now clock.Millis) {
-	b.hear(y.By, now)
-	b.learn(y.Speed)
-	job, item := b.item(y.Job, y.Index)
+func (s *State) yield(y Yield, now clock.Millis) {
+	s.hear(y.By, now)
+	s.learn(y.Speed)
+	job, item := s.item(y.Job, y.Index)
 	if item == nil {
 		return
 	}
@@ -305,25 +305,25 @@
 	if item.Owner == y.By {
 		if y.Failed {
 			item.FailedAt = append(item.FailedAt, item.Engine)
-			b.judge(item.Engine, 1)
+			s.judge(item.Engine, 1)
 		}
-		b.release(job, y.Index)
+		s.release(job, y.Index)
 		item.Yields++
 	}
 }
 
 // defers keeps an item from all engines for a while, unless the record is read in
 // arrears: then its time is over, or nearly.
-func (b *Book) defers(d Defer, now clock.Millis) {
-	b.hear(d.By, now)
-	if _, item := b.item(d.Job, d.Index); item != nil && b.Current {
+func (s *State) defers(d Defer, now clock.Millis) {
+	s.hear(d.By, now)
+	if _, item := s.item(d.Job, d.Index); item != nil && s.Current {
 		item.Deferred = max(item.Deferred, now+clock.Millis(d.Millis))
 	}
 }
 
-func (b *Book) keep(k Keep, now clock.Millis) {
-	b.hear(k.By, now)
-	if _, item := b.item(k.Job, k.Index); item != nil {
+func (s *State) keep(k SavePartial, now clock.Millis) {
+	s.hear(k.By, now)
+	if _, item := s.item(k.Job, k.Index); item != nil {
 		item.take(k.Partial)
 	}
 }
@@ -335,17 +335,17 @@
 	}
 }
 
-func (b *Book) finish(f Finish, now clock.Millis) {
-	b.hear(f.By, now)
-	b.learn(f.Speed)
-	job, item := b.item(f.Job, f.Index)
+func (s *State) finish(f Finish, now clock.Millis) {
+	s.hear(f.By, now)
+	s.learn(f.Speed)
+	job, item := s.item(f.Job, f.Index)
 	if item == nil {
 		return
 	}
 	if item.Claim != 0 && f.State == Completed {
-		b.judge(item.Engine, 0)
+		s.judge(item.Engine, 0)
 	}
-	b.release(job, f.Index)
+	s.release(job, f.Index)
 	job.Waiting--
 	item.Done = true
 	item.Partial = Partial{}
@@ -355,35 +355,35 @@
 	job.Results = append(job.Results, Result{Index: f.Index, Finish: f})
 }
 
-func (b *Book) end(e End, now clock.Millis) {
-	job := b.Jobs[e.Job]
+func (s *State) end(e End, now clock.Millis) {
+	job := s.Jobs[e.Job]
 	if job == nil || job.Ended {
 		return
 	}
 	job.Ended = true
 	job.EndSeen = now
 	for i := range job.Items {
-		b.release(job, i)
+		s.release(job, i)
 	}
 }
 
 // Forget drops jobs that were accepted before the given time of this reader
 // and are over or too old to matter to anybody.
-func (b *Book) Forget(before clock.Millis) {
-	kept := b.Order[:0]
-	for _, id := range b.Order {
-		job := b.Jobs[id]
+func (s *State) Forget(before clock.Millis) {
+	kept := s.Order[:0]
+	for _, id := range s.Order {
+		job := s.Jobs[id]
 		if job.Seen >= before {
 			kept = append(kept, id)
 			continue
 		}
 		for i := range job.Items {
-			b.release(job, i)
-			if b.Kept[job.Items[i].ID] == id {
-				delete(b.Kept, job.Items[i].ID)
+			s.release(job, i)
+			if s.Kept[job.Items[i].ID] == id {
+				delete(s.Kept, job.Items[i].ID)
 			}
 		}
-		delete(b.Jobs, id)
+		delete(s.Jobs, id)
 	}
-	b.Order = kept
+	s.Order = kept
 }
--- a/kernel/jobs/codec.go
+++ b/kernel/jobs/codec.go
@@ -31,7 +31,7 @@
 		w.finish(v)
 	case End:
 		w.text(string(v.Job))
-	case Beat:
+	case Heartbeat:
 		w.text(string(v.By))
 		w.text(string(v.Zone))
 		w.flag(v.Leaving)
@@ -40,7 +40,7 @@
 		w.text(v.Role)
 		w.text(string(v.By))
 		w.int(int64(v.Replaces))
-	case Order:
+	case LoadOrder:
 		w.text(v.Role)
 		w.int(int64(v.Fence))
 		w.text(string(v.Engine))
@@ -50,9 +50,9 @@
 		w.text(string(v.Engine))
 		w.text(string(v.Model))
 		w.int(int64(v.Version))
-	case Used, Usage, Reported:
+	case UsageDelta, UsageTotal, UsageReported:
 		w.use(v)
-	case Keep:
+	case SavePartial:
 		w.keep(v)
 	case Defer:
 		w.text(string(v.Job))
@@ -106,16 +106,16 @@
 // use writes the fields of the records on use.
 func (w *writer) use(r Record) {
 	switch v := r.(type) {
-	case Used:
+	case UsageDelta:
 		w.text(string(v.By))
 		w.int(int64(v.Window))
 		w.counts(v.Counts)
-	case Usage:
+	case UsageTotal:
 		w.text(v.Role)
 		w.int(int64(v.Fence))
 		w.int(int64(v.Window))
 		w.counts(v.Counts)
-	case Reported:
+	case UsageReported:
 		w.int(int64(v.Window))
 	}
 }
@@ -181,7 +181,7 @@
 	w.speed(f.Speed)
 }
 
-func (w *writer) keep(k Keep) {
+func (w *writer) keep(k SavePartial) {
 	w.text(string(k.Job))
 	w.text(string(k.By))
 	w.int(int64(k.Index))
@@ -202,7 +202,7 @@
 	w.flag(p.Whole)
 }
 
-func (w *writer) speed(s Speed) {
+func (w *writer) speed(s Timing) {
 	w.text(string(s.Engine))
 	w.int(int64(s.Events))
 	w.int(int64(s.Millis))
@@ -285,8 +285,8 @@
 	return Partial{Texts: r.spans(), Events: int(r.int()), Versions: r.versions(), Whole: r.flag()}
 }
 
-func (r *reader) speed() Speed {
-	return Speed{Engine: ident.BackendName(r.text()), Events: int(r.int()), Millis: int(r.int())}
+func (r *reader) speed() Timing {
+	return Timing{Engine: ident.BackendName(r.text()), Events: int(r.int()), Millis: int(r.int())}
 }
 
 func (r *reader) versions() []ident.Version {
@@ -320,17 +320,17 @@
 		}
 	case finishKind:
 		return Finish{
-			Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), State: State(r.text()),
+			Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), State: Outcome(r.text()),
 			Versions: r.versions(), Score: r.text(), Texts: r.spans(), Events: int(r.int()), Speed: r.speed(),
 		}
 	case endKind:
 		return End{Job: ident.Job(r.text())}
 	case beatKind:
-		return Beat{By: ident.InstanceName(r.text()), Zone: ident.Zone(r.text()), Leaving: r.flag(), Address: ident.Address(r.text())}
+		return Heartbeat{By: ident.InstanceName(r.text()), Zone: ident.Zone(r.text()), Leaving: r.flag(), Address: ident.Address(r.text())}
 	case holdKind:
 		return Hold{Role: r.text(), By: ident.InstanceName(r.text()), Replaces: ident.Offset(r.int())}
 	case orderKind:
-		return Order{
+		return LoadOrder{
 			Role: r.text(), Fence: ident.Fence(r.int()), Engine: ident.BackendName(r.text()),
 			Model: ident.Model(r.text()), Version: ident.Version(r.int()),
 		}
@@ -339,7 +339,7 @@
 	case usedKind, usageKind, reportedKind:
 		return r.use(kind)
 	case keepKind:
-		return Keep{Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Partial: r.partial()}
+		return SavePartial{Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Partial: r.partial()}
 	case deferKind:
 		return Defer{Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Millis: int(r.int())}
 	case avoidKind:
@@ -353,11 +353,11 @@
 func (r *reader) use(kind recordKind) Record {
 	switch kind {
 	case usedKind:
-		return Used{By: ident.InstanceName(r.text()), Window: ident.Window(r.int()), Counts: r.counts()}
+		return UsageDelta{By: ident.InstanceName(r.text()), Window: ident.Window(r.int()), Counts: r.counts()}
 	case usageKind:
-		return Usage{Role: r.text(), Fence: ident.Fence(r.int()), Window: ident.Window(r.int()), Counts: r.counts()}
+		return UsageTotal{Role: r.text(), Fence: ident.Fence(r.int()), Window: ident.Window(r.int()), Counts: r.counts()}
 	default:
-		return Reported{Window: ident.Window(r.int())}
+		return UsageReported{Window: ident.Window(r.int())}
 	}
 }
 
@@ -369,7 +369,7 @@
 	}
 	n := r.length()
 	for range n {
-		a.Items = append(a.Items, Plan{
+		a.Items = append(a.Items, ItemSpec{
 			ID: ident.Item(r.text()), Group: ident.Group(r.text()), Expect: ident.Tokens(r.int()), Body: r.span(),
 		})
 	}
--- a/kernel/jobs/engine.go
+++ b/kernel/jobs/engine.go
@@ -9,33 +9,33 @@
 // longest texts have three times as many.
 const paceEvents = 60
 
-func (b *Book) learn(s Speed) {
-	if s.Events <= 0 || s.Millis <= 0 || s.Engine == "" {
+func (s *State) learn(timing Timing) {
+	if timing.Events <= 0 || timing.Millis <= 0 || timing.Engine == "" {
 		return
 	}
-	seen := float64(s.Millis) / float64(s.Events)
-	pace := b.Paces[s.Engine]
+	seen := float64(timing.Millis) / float64(timing.Events)
+	pace := s.Paces[timing.Engine]
 	if pace.PerEvent == 0 {
 		pace.PerEvent = seen
 	}
-	weight := float64(s.Events) / float64(s.Events+paceEvents)
+	weight := float64(timing.Events) / float64(timing.Events+paceEvents)
 	pace.PerEvent += weight * (seen - pace.PerEvent)
-	b.Paces[s.Engine] = pace
+	s.Paces[timing.Engine] = pace
 }
 
 // faultWeight is what one run weighs against the share of failures before it.
 const faultWeight = 0.15
 
 // judge notes the end of a run: 1 is a failure of the engine, 0 a whole text.
-func (b *Book) judge(engine ident.BackendName, failure float64) {
-	b.Faults[engine] += faultWeight * (failure - b.Faults[engine])
+func (s *State) judge(engine ident.BackendName, failure float64) {
+	s.Faults[engine] += faultWeight * (failure - s.Faults[engine])
 }
 
 // avoid keeps items from an engine for a while, unless the record is read in
 // arrears: then its time is over, or nearly.
-func (b *Book) avoid(a Avoid, now clock.Millis) {
-	b.hear(a.By, now)
-	if b.Current {
-		b.Avoided[a.Engine] = max(b.Avoided[a.Engine], now+clock.Millis(a.Millis))
+func (s *State) avoid(a Avoid, now clock.Millis) {
+	s.hear(a.By, now)
+	if s.Current {
+		s.Avoided[a.Engine] = max(s.Avoided[a.Engine], now+clock.Millis(a.Millis))
 	}
 }
--- a/kernel/jobs/jobs_test.go
+++ b/kernel/jobs/jobs_test.go
@@ -22,14 +22,14 @@
 func accept(job ident.Job, least ident.Version, items ...ident.Item) Accept {
 	a := Accept{Job: job, Host: "h", Prefix: "/p/", Service: "s", Model: "m", Least: least, Wanted: 1}
 	for _, id := range items {
-		a.Items = append(a.Items, Plan{ID: id, Group: "g", Expect: 100, Body: Span{Stream: "bodies.1", First: 3, Count: 1}})
+		a.Items = append(a.Items, ItemSpec{ID: id, Group: "g", Expect: 100, Body: Span{Stream: "bodies.1", First: 3, Count: 1}})
 	}
 	return a
 }
 
 // log applies records in order to a new book.
-func fold(records ...Record) *Book {
-	b := NewBook()
+func fold(records ...Record) *State {
+	b := NewState()
 	for i, r := range records {
 		b.Apply(ident.Offset(i+1), r, clock.Millis(i))
 	}
@@ -38,16 +38,16 @@
 
 func TestCodec(t *testing.T) {
 	partial := Partial{Texts: []Span{{Stream: "texts.2", First: 9, Count: 2}}, Events: 7, Versions: []ident.Version{1, 2}, Whole: true}
-	speed := Speed{Engine: "e", Events: 7, Millis: 300}
+	speed := Timing{Engine: "e", Events: 7, Millis: 300}
 	records := []Record{
 		accept("j", 2, "a", "b"),
 		Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 1, Replaces: 4}}},
 		Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 2}}, Dealer: "d"},
 		Yield{Job: "j", By: "i", Index: 1, Partial: partial, Failed: true, Speed: speed},
-		Keep{Job: "j", By: "i", Index: 1, Partial: partial},
+		SavePartial{Job: "j", By: "i", Index: 1, Partial: partial},
 		Finish{Job: "j", By: "i", Index: 1, State: Completed, Versions: []ident.Version{3}, Score: "s", Texts: partial.Texts, Events: 7, Speed: speed},
-		End{Job: "j"}, Beat{By: "i", Zone: "z", Leaving: true, Address: "1.2.3.4:5"},
-		Hold{Role: "r", By: "i", Replaces: 5}, Order{Role: "r", Fence: 5, Engine: "e", Model: "m", Version: 6},
+		End{Job: "j"}, Heartbeat{By: "i", Zone: "z", Leaving: true, Address: "1.2.3.4:5"},
+		Hold{Role: "r", By: "i", Replaces: 5}, LoadOrder{Role: "r", Fence: 5, Engine: "e", Model: "m", Version: 6},
 		Loaded{Engine: "e", Model: "m", Version: 6}, Avoid{By: "i", Engine: "e", Millis: 7}, Defer{Job: "j", By: "i", Index: 2, Millis: 7},
 	}
 	for _, r := range records {
@@ -133,7 +133,7 @@
 	}{{"a text of fitting versions is taken over", 2, 4}, {"one that is too old is not", 3, 0}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := fold(accept("j", 1, "a"), Keep{Job: "j", Partial: kept}, End{Job: "j"}, accept("k", c.least, "a"))
+			b := fold(accept("j", 1, "a"), SavePartial{Job: "j", Partial: kept}, End{Job: "j"}, accept("k", c.least, "a"))
 			item := b.Jobs["k"].Items[0]
 			if !item.Brought || item.Partial.Events != c.want {
 				t.Errorf("brought %v with %d events, want %d", item.Brought, item.Partial.Events, c.want)
@@ -150,7 +150,7 @@
 		}
 	})
 	t.Run("an order under an older fence does not count", func(t *testing.T) {
-		b := fold(Hold{Role: "r", By: "x"}, Hold{Role: "r", By: "y", Replaces: 1}, Order{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2})
+		b := fold(Hold{Role: "r", By: "x"}, Hold{Role: "r", By: "y", Replaces: 1}, LoadOrder{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2})
 		if w := b.Weights[EngineModel{Engine: "e", Model: "m"}]; w.Ordered != 0 {
 			t.Errorf("ordered %d, want none", w.Ordered)
 		}
@@ -158,7 +158,7 @@
 }
 
 func TestLives(t *testing.T) {
-	b := fold(Beat{By: "n~1", Zone: "z"}, Beat{By: "m~1", Zone: "z"}, Beat{By: "n~2", Zone: "z"})
+	b := fold(Heartbeat{By: "n~1", Zone: "z"}, Heartbeat{By: "m~1", Zone: "z"}, Heartbeat{By: "n~2", Zone: "z"})
 	if b.Alive("n~1", 0) || !b.Alive("n~2", 0) || !b.Alive("m~1", 0) {
 		t.Error("a new life must end the earlier lives of the same instance, and only these")
 	}
@@ -172,7 +172,7 @@
 // late, twice and in any order, with rebuilds from the start.
 type ledgerModel struct {
 	records []Record
-	book    *Book
+	book    *State
 	// listed is what callers have read: it must never change.
 	listed   map[ident.Job][]Result
 	accepted map[ident.Job]int
@@ -220,7 +220,7 @@
 	}
 }
 
-func (m *ledgerModel) beat(t *rapid.T) { m.write(Beat{By: m.name(t), Zone: "z"}) }
+func (m *ledgerModel) beat(t *rapid.T) { m.write(Heartbeat{By: m.name(t), Zone: "z"}) }
 
 // again writes an old record once more, as a repeated append may.
 func (m *ledgerModel) again(t *rapid.T) {
@@ -232,7 +232,7 @@
 // rebuild reads everything from the start, as an instance does that has lost
 // its memory, at other times of its own.
 func (m *ledgerModel) rebuild(*rapid.T) {
-	fresh := NewBook()
+	fresh := NewState()
 	for i, r := range m.records {
 		fresh.Apply(ident.Offset(i+1), r, clock.Millis(1_000_000+i*7))
 	}
@@ -276,7 +276,7 @@
 	}
 }
 
-func claimedAt(b *Book, engine ident.BackendName) int {
+func claimedAt(b *State, engine ident.BackendName) int {
 	n := 0
 	for _, j := range b.Jobs {
 		for _, i := range j.Items {
@@ -305,7 +305,7 @@
 
 func TestLedgerOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ledgerModel{book: NewBook(), listed: map[ident.Job][]Result{}, accepted: map[ident.Job]int{}}
+		m := &ledgerModel{book: NewState(), listed: map[ident.Job][]Result{}, accepted: map[ident.Job]int{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"accept": m.accept, "claim": m.claim, "finish": m.finish, "yield": m.yield, "end": m.end,
 			"beat": m.beat, "again": m.again, "rebuild": m.rebuild, "": m.check,
@@ -317,11 +317,11 @@
 // items from engines for it, but wait out leases as if it were new.
 func TestReadInArrears(t *testing.T) {
 	for _, current := range []bool{true, false} {
-		b := NewBook()
+		b := NewState()
 		b.Current = current
 		const now = 100 * clock.Second
 		b.Apply(1, Hold{Role: "r", By: "i"}, now)
-		b.Apply(2, Order{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2}, now)
+		b.Apply(2, LoadOrder{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2}, now)
 		b.Apply(3, Avoid{By: "i", Engine: "e", Millis: 400}, now)
 		b.Apply(4, accept("j", 1, "a"), now)
 		if avoided := b.Avoided["e"] > now; avoided != current {
--- a/kernel/jobs/record.go
+++ b/kernel/jobs/record.go
@@ -30,8 +30,8 @@
 	Count  int
 }
 
-// Plan is what every instance knows of an item without reading its body.
-type Plan struct {
+// ItemSpec is what every instance knows of an item without reading its body.
+type ItemSpec struct {
 	ID    ident.Item
 	Group ident.Group
 	// Expect is how many tokens the caller expects the answer to have.
@@ -55,7 +55,7 @@
 	Wanted int
 	// Single tells that one version must have made the whole of a text.
 	Single bool
-	Items  []Plan
+	Items  []ItemSpec
 	// Organisation is whose job it is; empty if nobody's.
 	Organisation ident.Organisation
 }
@@ -89,21 +89,21 @@
 	Partial Partial
 	// Failed tells that the engine itself failed the item.
 	Failed bool
-	Speed  Speed
+	Speed  Timing
 }
 
-// Keep keeps the beginning of a text while the rest is being made, so that it
+// SavePartial keeps the beginning of a text while the rest is being made, so that it
 // is not lost with the instance or the engine.
-type Keep struct {
+type SavePartial struct {
 	Job     ident.Job
 	By      ident.InstanceName
 	Index   int
 	Partial Partial
 }
 
-// Speed is how long an engine took for a number of events; everybody learns the
+// Timing is how long an engine took for a number of events; everybody learns the
 // speed of the engine from it.
-type Speed struct {
+type Timing struct {
 	Engine ident.BackendName
 	Events int
 	Millis int
@@ -149,13 +149,13 @@
 	return true
 }
 
-// State is how an item ended.
-type State string
+// Outcome is how an item ended.
+type Outcome string
 
 // States of items.
 const (
-	Completed  State = "Completed"
-	Terminated State = "Terminated"
+	Completed  Outcome = "Completed"
+	Terminated Outcome = "Terminated"
 )
 
 // Finish is the result of an item. The first one of an item counts.
@@ -163,13 +163,13 @@
 	Job      ident.Job
 	By       ident.InstanceName
 	Index    int
-	State    State
+	State    Outcome
 	Versions []ident.Version
 	Score    string
 	Texts    []Span
 	// Events is the length of the whole text.
 	Events int
-	Speed  Speed
+	Speed  Timing
 }
 
 // End closes a job: nothing of it needs to run any more.
@@ -177,9 +177,9 @@
 	Job ident.Job
 }
 
-// Beat tells that an instance is alive. Leaving tells that it takes no more
+// Heartbeat tells that an instance is alive. Leaving tells that it takes no more
 // work.
-type Beat struct {
+type Heartbeat struct {
 	By      ident.InstanceName
 	Zone    ident.Zone
 	Leaving bool
@@ -195,9 +195,9 @@
 	Replaces ident.Offset
 }
 
-// Order tells that the holder of a role is about to order an engine to load a
+// LoadOrder tells that the holder of a role is about to order an engine to load a
 // version. It counts only while Fence is the hold that stands.
-type Order struct {
+type LoadOrder struct {
 	Role    string
 	Fence   ident.Fence
 	Engine  ident.BackendName
@@ -218,24 +218,24 @@
 	Requests     int64
 }
 
-// Used adds requests that an instance saw begin in a window.
-type Used struct {
+// UsageDelta adds requests that an instance saw begin in a window.
+type UsageDelta struct {
 	By     ident.InstanceName
 	Window ident.Window
 	Counts []Count
 }
 
-// Usage is the sum of a window that is reported: it counts only while Fence is the
+// UsageTotal is the sum of a window that is reported: it counts only while Fence is the
 // hold on Role that stands, and the first one of a window counts.
-type Usage struct {
+type UsageTotal struct {
 	Role   string
 	Fence  ident.Fence
 	Window ident.Window
 	Counts []Count
 }
 
-// Reported tells that the platform has taken the report of a window.
-type Reported struct {
+// UsageReported tells that the platform has taken the report of a window.
+type UsageReported struct {
 	Window ident.Window
 }
 
@@ -265,18 +265,18 @@
 	deferKind
 )
 
-func (Accept) kind() recordKind   { return acceptKind }
-func (Claim) kind() recordKind    { return claimKind }
-func (Yield) kind() recordKind    { return yieldKind }
-func (Finish) kind() recordKind   { return finishKind }
-func (End) kind() recordKind      { return endKind }
-func (Beat) kind() recordKind     { return beatKind }
-func (Hold) kind() recordKind     { return holdKind }
-func (Order) kind() recordKind    { return orderKind }
-func (Loaded) kind() recordKind   { return loadedKind }
-func (Avoid) kind() recordKind    { return avoidKind }
-func (Keep) kind() recordKind     { return keepKind }
-func (Used) kind() recordKind     { return usedKind }
-func (Usage) kind() recordKind    { return usageKind }
-func (Reported) kind() recordKind { return reportedKind }
-func (Defer) kind() recordKind    { return deferKind }
+func (Accept) kind() recordKind        { return acceptKind }
+func (Claim) kind() recordKind         { return claimKind }
+func (Yield) kind() recordKind         { return yieldKind }
+func (Finish) kind() recordKind        { return finishKind }
+func (End) kind() recordKind           { return endKind }
+func (Heartbeat) kind() recordKind     { return beatKind }
+func (Hold) kind() recordKind          { return holdKind }
+func (LoadOrder) kind() recordKind     { return orderKind }
+func (Loaded) kind() recordKind        { return loadedKind }
+func (Avoid) kind() recordKind         { return avoidKind }
+func (SavePartial) kind() recordKind   { return keepKind }
+func (UsageDelta) kind() recordKind    { return usedKind }
+func (UsageTotal) kind() recordKind    { return usageKind }
+func (UsageReported) kind() recordKind { return reportedKind }
+func (Defer) kind() recordKind         { return deferKind }
--- a/kernel/jobs/use.go
+++ b/kernel/jobs/use.go
@@ -7,8 +7,8 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// WindowUse is what the ledger says of a window of use.
-type WindowUse struct {
+// WindowUsage is what the ledger says of a window of use.
+type WindowUsage struct {
 	// Counts is what instances have told so far, Late what they told after the sum
 	// was settled: it is in no report.
 	Counts map[ident.Organisation]int64
@@ -25,37 +25,37 @@
 const mostWindows = 60
 
 // window returns a window's state, forgetting the oldest ones.
-func (b *Book) window(w ident.Window) *WindowUse {
-	if b.Use[w] == nil {
-		b.Use[w] = &WindowUse{Counts: map[ident.Organisation]int64{}}
+func (s *State) window(w ident.Window) *WindowUsage {
+	if s.Use[w] == nil {
+		s.Use[w] = &WindowUsage{Counts: map[ident.Organisation]int64{}}
 	}
-	for len(b.Use) > mostWindows {
+	for len(s.Use) > mostWindows {
 		oldest := w
-		for known := range b.Use {
+		for known := range s.Use {
 			oldest = min(oldest, known)
 		}
 		if oldest == w {
 			break
 		}
-		delete(b.Use, oldest)
+		delete(s.Use, oldest)
 	}
-	return b.Use[w]
+	return s.Use[w]
 }
 
 // applyUse folds a record on use.
-func (b *Book) applyUse(record Record) {
+func (s *State) applyUse(record Record) {
 	switch r := record.(type) {
-	case Used:
-		b.used(r)
-	case Usage:
-		b.usage(r)
-	case Reported:
-		b.reported(r)
+	case UsageDelta:
+		s.used(r)
+	case UsageTotal:
+		s.usage(r)
+	case UsageReported:
+		s.reported(r)
 	}
 }
 
-func (b *Book) used(u Used) {
-	w := b.window(u.Window)
+func (s *State) used(u UsageDelta) {
+	w := s.window(u.Window)
 	for _, c := range u.Counts {
 		if w.Settled {
 			w.Late += c.Requests
@@ -65,20 +65,20 @@
 	}
 }
 
-func (b *Book) usage(u Usage) {
-	if b.Holds[u.Role].Fence != u.Fence {
+func (s *State) usage(u UsageTotal) {
+	if s.Holds[u.Role].Fence != u.Fence {
 		return
 	}
-	if w := b.window(u.Window); !w.Settled {
+	if w := s.window(u.Window); !w.Settled {
 		w.Sum, w.Settled = u.Counts, true
 	}
 }
 
-func (b *Book) reported(r Reported) { b.window(r.Window).Reported = true }
+func (s *State) reported(r UsageReported) { s.window(r.Window).Reported = true }
 
 // Sorted returns the counts told so far, by organisation; none for a window of which
 // nobody told.
-func (w *WindowUse) Sorted() []Count {
+func (w *WindowUsage) Sorted() []Count {
 	if w == nil {
 		return nil
 	}
