--- a/croftmoor/batch/actors.go
+++ b/croftmoor/batch/actors.go
@@ -61,7 +61,7 @@
 func silentZones(b *jobs.State, live map[ident.InstanceName]ident.Zone, from, since clock.Millis) map[ident.Zone]bool {
 	zones := map[ident.Zone]bool{}
 	for _, m := range b.Members {
-		if !m.Over && !m.Leaving && m.Heard >= from && m.Heard < since {
+		if !m.Superseded && !m.Leaving && m.LastHeard >= from && m.LastHeard < since {
 			zones[m.Zone] = true
 		}
 	}
--- a/croftmoor/batch/away_test.go
+++ b/croftmoor/batch/away_test.go
@@ -65,7 +65,7 @@
 		r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 		ledger, _ := r.Ledger.(*bookLedger)
 		r.Ledger, r.Engines, r.Blobs = awayLedger{ledger}, began, &itemBlobs{}
-		accept := jobs.Accept{Job: "job-0", Host: "h", Prefix: "/p/", Service: "models", Model: "m", Least: 2}
+		accept := jobs.Accept{Job: "job-0", Host: "h", Prefix: "/p/", Service: "models", Model: "m", MinVersion: 2}
 		for i := range 160 {
 			accept.Items = append(accept.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("0-%d", i)), Expect: 100, Body: jobs.Span{First: ident.Offset(i), Count: 1}})
 		}
--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -166,13 +166,13 @@
 	best := 0.0
 	for _, m := range r.Fleet.View().Backends[c.accept.Service] {
 		name := ident.BackendName(m.Name)
-		pace := b.Paces[name].PerEvent
+		pace := b.Paces[name].MillisPerEvent
 		version, ready := Version(b, m, c.accept.Model, now)
-		engine := deal.Engine{Name: name, Slots: cmp.Or(m.Slots, slots, 1), Load: b.Loads[name], PerEvent: pace, Faults: b.Faults[name]}
+		engine := deal.Engine{Name: name, Slots: cmp.Or(m.Slots, slots, 1), Load: b.Loads[name], PerEvent: pace, Faults: b.FailureRates[name]}
 		switch {
-		case name == c.item.Engine, m.State == fleet.Leaving, now < b.Avoided[name], pace == 0:
+		case name == c.item.Engine, m.State == fleet.Leaving, now < b.AvoidedUntil[name], pace == 0:
 			continue
-		case engine.Load.Items >= engine.Slots, !ready, version < c.accept.Least:
+		case engine.Load.Items >= engine.Slots, !ready, version < c.accept.MinVersion:
 			continue
 		}
 		if cost := engine.Cost(pace); best == 0 || cost < best {
--- a/croftmoor/batch/move_test.go
+++ b/croftmoor/batch/move_test.go
@@ -25,7 +25,7 @@
 	book := ledger.book
 	for i := range 4 {
 		engine := ident.BackendName([]string{"engine-0", "engine-1", "engine-2", "engine-3"}[i])
-		book.Paces[engine] = jobs.Pace{PerEvent: 20}
+		book.Paces[engine] = jobs.Pace{MillisPerEvent: 20}
 		delete(book.Loads, engine)
 	}
 	job := book.Jobs["job-0"]
--- a/croftmoor/batch/patient_test.go
+++ b/croftmoor/batch/patient_test.go
@@ -22,11 +22,11 @@
 		{"a short item of a job that is nearly due", 1300, 4 * clock.Second, nil, false},
 		{"an item that may take until the job is due", 7000, 0, nil, false},
 		{"a job without a time to be done by", 1300, 0, func(s *survey, _ *jobs.Job) { s.due["j"] = 0 }, false},
-		{"a job of unknown age", 1300, 0, func(_ *survey, j *jobs.Job) { j.Backlog = true }, false},
+		{"a job of unknown age", 1300, 0, func(_ *survey, j *jobs.Job) { j.FromBacklog = true }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &survey{now: 100 * clock.Second, due: map[ident.Job]clock.Millis{"j": due}, median: 38}
-			job := &jobs.Job{Accept: jobs.Accept{Job: "j"}, Seen: s.now - c.age}
+			job := &jobs.Job{Accept: jobs.Accept{Job: "j"}, SeenAt: s.now - c.age}
 			if c.change != nil {
 				c.change(s, job)
 			}
--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -71,9 +71,9 @@
 	if err != nil {
 		return work.Item{}, err
 	}
-	if partial := c.item.Partial; partial.Fits(c.accept.Least, c.accept.Single) {
+	if partial := c.item.Partial; partial.Fits(c.accept.MinVersion, c.accept.SingleVersion) {
 		made.kept = partial
-		made.events, made.versions, made.whole = partial.Events, slices.Clone(partial.Versions), partial.Whole
+		made.events, made.versions, made.whole = partial.Events, slices.Clone(partial.Versions), partial.Complete
 	}
 	item, err := work.Decode(data)
 	item.Organisation, item.Urgent = c.accept.Organisation, r.urgent(c.accept)
@@ -155,10 +155,10 @@
 	if event.Index != made.events+1 {
 		return fault.New("batch.generate", Broken, fmt.Sprintf("event %d after %d", event.Index, made.events))
 	}
-	if event.Version < accept.Least {
-		return fault.New("batch.generate", NotRun, fmt.Sprintf("the engine has version %d, the job takes %d", event.Version, accept.Least))
+	if event.Version < accept.MinVersion {
+		return fault.New("batch.generate", NotRun, fmt.Sprintf("the engine has version %d, the job takes %d", event.Version, accept.MinVersion))
 	}
-	if accept.Single && made.events > 0 && !slices.Contains(made.versions, event.Version) {
+	if accept.SingleVersion && made.events > 0 && !slices.Contains(made.versions, event.Version) {
 		return fault.New("batch.generate", Broken, "a second version in a text that takes one")
 	}
 	return nil
@@ -190,8 +190,8 @@
 	}
 	pause := 0
 	switch {
-	case kind == Impossible, kind == Failed && len(c.item.FailedAt)+1 >= attempts:
-		r.finish(ctx, c, jobs.Finish{State: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedAt)+1, attempts, reason))
+	case kind == Impossible, kind == Failed && len(c.item.FailedEngines)+1 >= attempts:
+		r.finish(ctx, c, jobs.Finish{State: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedEngines)+1, attempts, reason))
 		return
 	case kind == Busy:
 		pause = avoidBusy
--- a/croftmoor/batch/progress.go
+++ b/croftmoor/batch/progress.go
@@ -57,7 +57,7 @@
 func (p *progress) part() (text []byte, next jobs.Partial) {
 	text = []byte(strings.Join(p.fresh, "\n"))
 	p.fresh = nil
-	return text, jobs.Partial{Events: p.events, Versions: slices.Clone(p.versions), Whole: p.whole}
+	return text, jobs.Partial{Events: p.events, Versions: slices.Clone(p.versions), Complete: p.whole}
 }
 
 // keepSome keeps the progress in the background now and then, so that another
@@ -118,6 +118,6 @@
 		err = p.append(ctx, text, next)
 	}
 	kept := p.partial()
-	kept.Whole = p.whole && err == nil
+	kept.Complete = p.whole && err == nil
 	return kept, err
 }
--- a/croftmoor/batch/race_test.go
+++ b/croftmoor/batch/race_test.go
@@ -40,7 +40,7 @@
 		r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 		r.Clock = s.clock
 		r.Ledger.View(func(b *jobs.State) {
-			b.Current = true
+			b.CaughtUp = true
 			s.books = append(s.books, b)
 		})
 		s.runners = append(s.runners, r)
@@ -116,7 +116,7 @@
 func (s *scene) finish() int {
 	left := 0
 	book := s.books[0]
-	for _, id := range book.Order {
+	for _, id := range book.JobOrder {
 		job := book.Jobs[id]
 		for i := range job.Items {
 			item := &job.Items[i]
@@ -218,7 +218,7 @@
 		gone := dealer(s)
 		s.silent[gone] = true
 		for _, b := range s.books {
-			b.Members[s.runners[gone].Self].Over = true
+			b.Members[s.runners[gone].Self].Superseded = true
 		}
 		s.play(8)
 		s.wantClaims(items, 1.05)
--- a/croftmoor/batch/runner.go
+++ b/croftmoor/batch/runner.go
@@ -143,7 +143,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ledger.View(func(b *jobs.State) {
-		for _, id := range b.Order {
+		for _, id := range b.JobOrder {
 			if b.Jobs[id].Open() {
 				open[id] = true
 			}
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -53,7 +53,7 @@
 		return true
 	}
 	version, ready := s.versions[jobs.EngineModel{Engine: engine, Model: accept.Model}]
-	return ready && version >= accept.Least
+	return ready && version >= accept.MinVersion
 }
 
 // survey looks at the jobs that have items to share out and the engines that may
@@ -102,7 +102,7 @@
 		}
 	}
 	var open []*jobs.Job
-	for _, id := range s.book.Order {
+	for _, id := range s.book.JobOrder {
 		if job := s.book.Jobs[id]; job.Open() && (job.Waiting > 0 || left[id]) {
 			open = append(open, job)
 		}
@@ -122,7 +122,7 @@
 		var waits []deal.Wait
 		for n := range job.Items {
 			item := &job.Items[n]
-			if item.Done || (item.Claim != 0 && !s.silent[item.Owner]) || s.now < item.Deferred {
+			if item.Done || (item.Claim != 0 && !s.silent[item.Owner]) || s.now < item.DeferredUntil {
 				continue
 			}
 			waits = append(waits, deal.Wait{
@@ -130,7 +130,7 @@
 				Patient: s.patient(job, item), Not: s.not(item),
 			})
 		}
-		s.pieces = append(s.pieces, deal.Order(job.Job, waits, job.Wanted, job.Longest, job.Brought)...)
+		s.pieces = append(s.pieces, deal.Order(job.Job, waits, job.WantedGroups, job.GroupLengths, job.ResubmittedGroups)...)
 	}
 }
 
@@ -139,7 +139,7 @@
 	if !s.without.On(toggle.Avoidance) {
 		return nil
 	}
-	return item.FailedAt
+	return item.FailedEngines
 }
 
 const (
@@ -155,12 +155,12 @@
 // starts later, and if it takes longer than expected.
 func (s *survey) patient(job *jobs.Job, item *jobs.Item) bool {
 	due := s.due[job.Job]
-	if due == 0 || job.Backlog || !s.without.On(toggle.Patience) {
+	if due == 0 || job.FromBacklog || !s.without.On(toggle.Patience) {
 		return false
 	}
 	events := float64(item.Expect) / eventTokens
 	term := clock.Millis(estimateError * events * s.median)
-	return s.now+term+spareTerm < job.Seen+due
+	return s.now+term+spareTerm < job.SeenAt+due
 }
 
 // room tells whether an engine of those that are meant can take an item, over its
@@ -193,13 +193,13 @@
 		settings := table.Services[service]
 		for _, m := range r.Fleet.View().Backends[service] {
 			name := ident.BackendName(m.Name)
-			if m.State == fleet.Leaving || s.actor[name] == "" || (now < s.book.Avoided[name] && r.Without.On(toggle.Avoidance)) || r.Fleet.MarkedLeaving(m.Name) {
+			if m.State == fleet.Leaving || s.actor[name] == "" || (now < s.book.AvoidedUntil[name] && r.Without.On(toggle.Avoidance)) || r.Fleet.MarkedLeaving(m.Name) {
 				continue
 			}
 			s.services[name] = service
 			s.engines = append(s.engines, deal.Engine{
-				Name: name, Slots: cmp.Or(m.Slots, settings.Slots, 1), Load: s.book.Loads[name], PerEvent: s.book.Paces[name].PerEvent,
-				Faults: s.book.Faults[name],
+				Name: name, Slots: cmp.Or(m.Slots, settings.Slots, 1), Load: s.book.Loads[name], PerEvent: s.book.Paces[name].MillisPerEvent,
+				Faults: s.book.FailureRates[name],
 			})
 			for _, model := range settings.Models {
 				if version, ready := Version(s.book, m, model, now); ready {
@@ -215,8 +215,8 @@
 // not just loading another one.
 func Version(b *jobs.State, m fleet.Member, model ident.Model, now clock.Millis) (ident.Version, bool) {
 	key := jobs.EngineModel{Engine: ident.BackendName(m.Name), Model: model}
-	version := b.Has(key, m.Versions[model])
+	version := b.LoadedVersion(key, m.Versions[model])
 	w := b.Weights[key]
-	loading := w.Ordered > version && now-w.OrderSeen < loadTerm
+	loading := w.Ordered > version && now-w.OrderSeenAt < loadTerm
 	return version, !loading
 }
--- a/croftmoor/batch/survey_bench_test.go
+++ b/croftmoor/batch/survey_bench_test.go
@@ -56,7 +56,7 @@
 		})
 	}
 	for j := range open {
-		accept := jobs.Accept{Job: ident.Job(fmt.Sprintf("job-%d", j)), Host: "h", Prefix: "/p/", Service: "models", Model: "m", Wanted: 9}
+		accept := jobs.Accept{Job: ident.Job(fmt.Sprintf("job-%d", j)), Host: "h", Prefix: "/p/", Service: "models", Model: "m", WantedGroups: 9}
 		for i := range items {
 			accept.Items = append(accept.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("%d-%d", j, i)), Group: ident.Group(fmt.Sprintf("g-%d", i/16)), Expect: 100})
 		}
--- a/croftmoor/intake/intake.go
+++ b/croftmoor/intake/intake.go
@@ -158,7 +158,7 @@
 func (i *Intake) keepBodies(ctx context.Context, s Submission) (jobs.Accept, error) {
 	accept := jobs.Accept{
 		Job: s.Job, Host: s.Route.Host, Prefix: s.Route.Prefix, Service: s.Route.Shares[0].Service, Model: s.Model,
-		Step: s.Step, Least: s.Least, Wanted: s.Wanted, Single: s.Route.SingleVersion, Organisation: s.Organisation,
+		Step: s.Step, MinVersion: s.Least, WantedGroups: s.Wanted, SingleVersion: s.Route.SingleVersion, Organisation: s.Organisation,
 	}
 	blobs := make([][]byte, 0, len(s.Items))
 	for _, item := range s.Items {
--- a/croftmoor/lease/lease.go
+++ b/croftmoor/lease/lease.go
@@ -109,12 +109,12 @@
 func (l *Lease) look() state {
 	var s state
 	l.Ledger.View(func(b *jobs.State) {
-		s.holding = b.Holds[l.Role]
+		s.holding = b.RoleHolders[l.Role]
 		since := l.Ledger.Since()
 		holder := b.Members[s.holding.By]
 		s.vacant = !b.Alive(s.holding.By, since) || holder.Leaving
 		if holder != nil {
-			s.heard = holder.Heard
+			s.heard = holder.LastHeard
 		}
 		last := s.holding.By
 		if !l.Without.On(toggle.Succession) {
@@ -155,7 +155,7 @@
 func (l *Lease) Holds(fence ident.Fence) bool {
 	held := false
 	l.Ledger.View(func(b *jobs.State) {
-		h := b.Holds[l.Role]
+		h := b.RoleHolders[l.Role]
 		held = h.By == l.Self && h.Fence == fence
 	})
 	return held && l.Ledger.Heard() < holdTerm
--- a/croftmoor/lease/lease_test.go
+++ b/croftmoor/lease/lease_test.go
@@ -79,12 +79,12 @@
 	// Only the last in turn does anything.
 	l := &Lease{Role: role, Self: last, Ledger: book, Clock: c, Trail: noDecisions{}}
 	wantHeld(t, l, false)
-	if by := book.book.Holds[role].By; by != "" {
+	if by := book.book.RoleHolders[role].By; by != "" {
 		t.Fatalf("%s took the role before its turn", by)
 	}
 	c.Advance(2 * turnTerm)
 	wantHeld(t, l, false)
-	if by := book.book.Holds[role].By; by != last {
+	if by := book.book.RoleHolders[role].By; by != last {
 		t.Errorf("held by %q, want %s", by, last)
 	}
 	wantHeld(t, l, true)
--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -140,7 +140,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.began && now-l.read > freshTerm {
-		l.book.Shift(now - l.read)
+		l.book.ShiftLastHeard(now - l.read)
 	}
 	if !l.began || now-l.read > freshTerm {
 		l.steady = now
@@ -148,7 +148,7 @@
 	if batch.First > max(l.book.Next, firstOffset) {
 		l.gap, l.gapped = now, true
 	}
-	l.book.Current = l.current && now-l.read <= freshTerm
+	l.book.CaughtUp = l.current && now-l.read <= freshTerm
 	told := now
 	if batch.Told > 0 {
 		told = min(now, batch.Told)
@@ -265,7 +265,7 @@
 	signs := false
 	for _, r := range records {
 		data = append(data, jobs.Encode(r))
-		signs = signs || jobs.Signs(r)
+		signs = signs || jobs.IsSignOfLife(r)
 	}
 	began := l.Clock.Mono()
 	offset, err := l.Writer.Write(ctx, Stream, data...)
--- a/croftmoor/scaler/scaler.go
+++ b/croftmoor/scaler/scaler.go
@@ -148,7 +148,7 @@
 func (s *Scaler) note(table *paths.Table) {
 	items := map[ident.Service]int{}
 	s.Ledger.View(func(b *jobs.State) {
-		for _, id := range b.Order {
+		for _, id := range b.JobOrder {
 			if job := b.Jobs[id]; job.Open() {
 				items[job.Service] += len(job.Items) - len(job.Results)
 			}
--- a/croftmoor/swaps/hold_test.go
+++ b/croftmoor/swaps/hold_test.go
@@ -86,7 +86,7 @@
 // hold makes an instance the holder and returns its fencing number.
 func (l *lone) hold(t *testing.T, by ident.InstanceName) ident.Fence {
 	t.Helper()
-	old := l.ledger.book.Holds[role].Fence
+	old := l.ledger.book.RoleHolders[role].Fence
 	offset, _ := l.ledger.Append(t.Context(), jobs.Hold{Role: role, By: by, Replaces: ident.Offset(old)})
 	return ident.Fence(offset)
 }
--- a/croftmoor/swaps/survey.go
+++ b/croftmoor/swaps/survey.go
@@ -26,7 +26,7 @@
 // has returns the version of a model that an engine has, or is loading.
 func (s *survey) has(m fleet.Member, model ident.Model) ident.Version {
 	key := jobs.EngineModel{Engine: ident.BackendName(m.Name), Model: model}
-	return max(s.book.Has(key, m.Versions[model]), s.keeper.loading[key].version)
+	return max(s.book.LoadedVersion(key, m.Versions[model]), s.keeper.loading[key].version)
 }
 
 // plan returns the loads to order now.
@@ -41,14 +41,14 @@
 func (s *survey) states() []loads.Engine {
 	known := make([]deal.Engine, 0, len(s.engines))
 	for _, m := range s.engines {
-		known = append(known, deal.Engine{PerEvent: s.book.Paces[ident.BackendName(m.Name)].PerEvent})
+		known = append(known, deal.Engine{PerEvent: s.book.Paces[ident.BackendName(m.Name)].MillisPerEvent})
 	}
 	median := deal.MedianPace(known)
 	states := make([]loads.Engine, 0, len(s.engines))
 	for _, m := range s.engines {
 		name := ident.BackendName(m.Name)
 		e := loads.Engine{Name: name, Speed: 1, Has: map[ident.Model]ident.Version{}}
-		if pace := s.book.Paces[name].PerEvent; pace > 0 {
+		if pace := s.book.Paces[name].MillisPerEvent; pace > 0 {
 			e.Speed = median / pace
 		}
 		for _, model := range s.service.Models {
@@ -99,15 +99,15 @@
 func (s *survey) steps(model ident.Model, newest ident.Version) []loads.Step {
 	var steps []loads.Step
 	coming := loads.Step{Least: newest, Work: comingShare * unknownWork}
-	for _, id := range s.book.Order {
+	for _, id := range s.book.JobOrder {
 		job := s.book.Jobs[id]
 		if job.Model != model {
 			continue
 		}
 		whole, waiting := work(job)
-		coming = loads.Step{Least: job.Least + 1, Work: comingShare * whole}
+		coming = loads.Step{Least: job.MinVersion + 1, Work: comingShare * whole}
 		if job.Open() && waiting > 0 {
-			steps = append(steps, loads.Step{Least: job.Least, Work: waiting, Waits: true})
+			steps = append(steps, loads.Step{Least: job.MinVersion, Work: waiting, Waits: true})
 		}
 	}
 	for coming.Least < newest {
--- a/croftmoor/swaps/swaps.go
+++ b/croftmoor/swaps/swaps.go
@@ -257,7 +257,7 @@
 func (k *Keeper) leased(b *jobs.State, engine ident.BackendName, fence ident.Fence, now clock.Millis) bool {
 	last := b.LastOrders[engine.ListName()]
 	own := last.Fence == fence || (k.Without.On(toggle.Succession) && last.By.ListName() == k.Self.ListName())
-	return last.Fence == 0 || own || now-last.Seen >= k.LeaseTerm
+	return last.Fence == 0 || own || now-last.SeenAt >= k.LeaseTerm
 }
 
 // busy tells whether an engine loads any model; mu is held.
--- a/croftmoor/usage/reporter.go
+++ b/croftmoor/usage/reporter.go
@@ -93,7 +93,7 @@
 	r.Ledger.View(func(b *jobs.State) {
 		whole := r.Ledger.Steady() >= steadyTerm && allHeard(b, r.Clock.Mono())
 		for _, w := range r.windows(b, now) {
-			use := b.Use[w]
+			use := b.Usage[w]
 			if (use == nil || !use.Settled) && r.complete(b, w) && settles(now-r.Terms.end(w), r.Terms.Due, whole) {
 				records = append(records, jobs.UsageTotal{Role: role, Fence: fence, Window: w, Counts: use.Sorted()})
 			}
@@ -126,7 +126,7 @@
 // from the first one in which anything began.
 func (r *Reporter) windows(b *jobs.State, now clock.Millis) []ident.Window {
 	first := r.Terms.at(now)
-	for w := range b.Use {
+	for w := range b.Usage {
 		first = min(first, w)
 	}
 	first = max(first, r.Terms.at(now-oldest))
@@ -143,7 +143,7 @@
 	now := r.Wall.Now()
 	r.Ledger.View(func(b *jobs.State) {
 		for _, w := range r.windows(b, now) {
-			if use := b.Use[w]; use != nil && use.Settled && !use.Reported {
+			if use := b.Usage[w]; use != nil && use.Settled && !use.Reported {
 				reports = append(reports, Report{Holder: r.Self, Fence: fence, Window: w, Counts: slices.Clone(use.Sum)})
 			}
 		}
@@ -193,7 +193,7 @@
 	now := r.Wall.Now()
 	r.Ledger.View(func(b *jobs.State) {
 		for _, w := range r.windows(b, now) {
-			use := b.Use[w]
+			use := b.Usage[w]
 			if (use != nil && use.Reported) || now < r.Terms.end(w)+r.Terms.Due-warnTerm || r.warned[w] {
 				continue
 			}
--- a/croftmoor/usage/settle.go
+++ b/croftmoor/usage/settle.go
@@ -39,8 +39,8 @@
 // allHeard tells whether every instance that may have counted has been heard lately.
 func allHeard(b *jobs.State, now clock.Millis) bool {
 	for _, m := range b.Members {
-		silence := now - m.Heard
-		if !m.Over && !m.Leaving && silence > missedTerm && silence < goneTerm {
+		silence := now - m.LastHeard
+		if !m.Superseded && !m.Leaving && silence > missedTerm && silence < goneTerm {
 			return false
 		}
 	}
@@ -54,7 +54,7 @@
 	if !missing || w > foundIn {
 		return true
 	}
-	for known := range b.Use {
+	for known := range b.Usage {
 		if known <= w-reachBack {
 			return true
 		}
--- a/croftmoor/usage/usage_test.go
+++ b/croftmoor/usage/usage_test.go
@@ -183,12 +183,12 @@
 		s.use("shops", 1)
 		s.api.fails = []error{fault.New("t", Unsure, "no word"), fault.New("t", Unsure, "no word"), fault.New("t", Unsure, "no word")}
 		s.pass(terms.Window + soonTerm + 400)
-		if !s.ledger.book.Use[200].Settled {
+		if !s.ledger.book.Usage[200].Settled {
 			t.Fatal("the sum is not settled")
 		}
 		s.use("shops", 7)
 		_, _ = s.ledger.Append(t.Context(), jobs.UsageDelta{By: "late~1", Window: 200, Counts: []jobs.Count{{Organisation: "shops", Requests: 9}}})
-		first := s.ledger.book.Holds[role].Fence
+		first := s.ledger.book.RoleHolders[role].Fence
 		_, _ = s.ledger.Append(t.Context(), jobs.Heartbeat{By: "a~1", Zone: "z", Leaving: true})
 		s.reporter = s.holder("b~1")
 		s.api.fails = nil
@@ -274,7 +274,7 @@
 func TestDroppedHistoryIsNotReportedAnew(t *testing.T) {
 	s := newScene(t)
 	s.pass(terms.Window - 200)
-	s.ledger.book.Use = map[ident.Window]*jobs.WindowUsage{}
+	s.ledger.book.Usage = map[ident.Window]*jobs.WindowUsage{}
 	s.ledger.gap = s.clock.Mono()
 	_, _ = s.ledger.Append(t.Context(), jobs.UsageDelta{By: "late~1", Window: 200, Counts: []jobs.Count{{Organisation: "shops", Requests: 1}}})
 	s.pass(400)
@@ -309,7 +309,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := jobs.NewState()
-			b.Use[c.known] = &jobs.WindowUsage{}
+			b.Usage[c.known] = &jobs.WindowUsage{}
 			if got := wholeHistory(b, c.window, c.missing, found); got != c.want {
 				t.Errorf("%v, want %v", got, c.want)
 			}
@@ -346,11 +346,11 @@
 		member jobs.Member
 		want   bool
 	}{
-		{"one that is heard", jobs.Member{Heard: now - missedTerm}, true},
-		{"one that is silent", jobs.Member{Heard: now - missedTerm - 1}, false},
-		{"one that has ended", jobs.Member{Heard: now - missedTerm - 1, Over: true}, true},
-		{"one that has left", jobs.Member{Heard: now - missedTerm - 1, Leaving: true}, true},
-		{"one that is gone", jobs.Member{Heard: now - goneTerm}, true},
+		{"one that is heard", jobs.Member{LastHeard: now - missedTerm}, true},
+		{"one that is silent", jobs.Member{LastHeard: now - missedTerm - 1}, false},
+		{"one that has ended", jobs.Member{LastHeard: now - missedTerm - 1, Superseded: true}, true},
+		{"one that has left", jobs.Member{LastHeard: now - missedTerm - 1, Leaving: true}, true},
+		{"one that is gone", jobs.Member{LastHeard: now - goneTerm}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/kernel/jobs/book.go
+++ b/kernel/jobs/book.go
@@ -16,14 +16,14 @@
 	Done bool
 	// Partial is the longest beginning of the text that was kept.
 	Partial Partial
-	// Brought tells that an earlier job had the item: the trainer waits for it.
-	Brought bool
-	// FailedAt are the engines that themselves failed the item, one for each time.
-	FailedAt []ident.BackendName
+	// Resubmitted tells that an earlier job had the item: the trainer waits for it.
+	Resubmitted bool
+	// FailedEngines are the engines that themselves failed the item, one for each time.
+	FailedEngines []ident.BackendName
 	// Yields counts how often the item was given back.
 	Yields int
-	// Deferred is until when, in this reader's time, the item goes to no engine.
-	Deferred clock.Millis
+	// DeferredUntil is until when, in this reader's time, the item goes to no engine.
+	DeferredUntil clock.Millis
 }
 
 // Result is a result at its position.
@@ -45,17 +45,17 @@
 	Results []Result
 	// Waiting is how many items have neither a result nor a claim that stands.
 	Waiting int
-	// Longest is the expected length of each group, that of its longest item, and
+	// GroupLengths is the expected length of each group, that of its longest item, and
 	// Brought are the groups of which an earlier job had items.
-	Longest map[ident.Group]ident.Tokens
-	Brought map[ident.Group]bool
-	Ended   bool
-	Seen    clock.Millis
-	// Backlog tells that the acceptance was read late, so that Seen says nothing of
+	GroupLengths      map[ident.Group]ident.Tokens
+	ResubmittedGroups map[ident.Group]bool
+	Ended             bool
+	SeenAt            clock.Millis
+	// FromBacklog tells that the acceptance was read late, so that Seen says nothing of
 	// its time.
-	Backlog bool
-	// EndSeen is when this reader read the end.
-	EndSeen clock.Millis
+	FromBacklog bool
+	// EndSeenAt is when this reader read the end.
+	EndSeenAt clock.Millis
 }
 
 // Open tells whether items of the job may still be worth running.
@@ -69,9 +69,9 @@
 	Zone    ident.Zone
 	Address ident.Address
 	Leaving bool
-	// Over tells that a later life of the same instance has begun.
-	Over  bool
-	Heard clock.Millis
+	// Superseded tells that a later life of the same instance has begun.
+	Superseded bool
+	LastHeard  clock.Millis
 }
 
 // RoleHolder is the hold on a role that stands.
@@ -86,22 +86,22 @@
 	Version ident.Version
 	// Ordered is the newest ordered, at OrderSeen; an order that is read in arrears
 	// counts as given long ago.
-	Ordered   ident.Version
-	OrderSeen clock.Millis
+	Ordered     ident.Version
+	OrderSeenAt clock.Millis
 }
 
 // LastOrder is the last order to an engine that the ledger knows of, of whatever
 // model: By gave it, under Fence, and this reader read of it at Seen.
 type LastOrder struct {
-	By    ident.InstanceName
-	Fence ident.Fence
-	Seen  clock.Millis
+	By     ident.InstanceName
+	Fence  ident.Fence
+	SeenAt clock.Millis
 }
 
-// Has returns the version of a model that an engine has, as far as the ledger or
+// LoadedVersion returns the version of a model that an engine has, as far as the ledger or
 // the engine itself, whose word may be older, have told.
-func (s *State) Has(key EngineModel, told ident.Version) ident.Version {
-	return max(s.Weights[key].Version, told)
+func (s *State) LoadedVersion(key EngineModel, reported ident.Version) ident.Version {
+	return max(s.Weights[key].Version, reported)
 }
 
 // EngineModel names a model's weights on an engine.
@@ -119,18 +119,18 @@
 
 // Pace is the speed of an engine as results tell it.
 type Pace struct {
-	// PerEvent is the smoothed time of one event in milliseconds; 0 is unknown.
-	PerEvent float64
+	// MillisPerEvent is the smoothed time of one event in milliseconds; 0 is unknown.
+	MillisPerEvent float64
 }
 
 // State is the folded state. It has no lock of its own. Records must be applied
 // in the order of their offsets.
 type State struct {
-	Jobs    map[ident.Job]*Job
-	Order   []ident.Job
-	Members map[ident.InstanceName]*Member
-	Holds   map[string]RoleHolder
-	Weights map[EngineModel]Weights
+	Jobs        map[ident.Job]*Job
+	JobOrder    []ident.Job
+	Members     map[ident.InstanceName]*Member
+	RoleHolders map[string]RoleHolder
+	Weights     map[EngineModel]Weights
 	// LastOrders holds the last order to each engine, by the name under which it is
 	// listed: a lease ends with its term, not with a start of the engine.
 	LastOrders map[string]LastOrder
@@ -138,27 +138,27 @@
 	Claims map[ident.InstanceName]map[ItemKey]struct{}
 	Loads  map[ident.BackendName]Load
 	Paces  map[ident.BackendName]Pace
-	// Faults is the share of the lately ended runs that each engine itself failed.
-	Faults map[ident.BackendName]float64
-	// Avoided holds until when, in this reader's time, an engine gets no items.
-	Avoided map[ident.BackendName]clock.Millis
-	// Current tells that records are read as they come, not in arrears.
-	Current bool
-	// Kept finds the newest job that has an item, for items brought back.
-	Kept map[ident.Item]ident.Job
-	// Use is what is known of each window of use.
-	Use  map[ident.Window]*WindowUsage
-	Next ident.Offset
+	// FailureRates is the share of the lately ended runs that each engine itself failed.
+	FailureRates map[ident.BackendName]float64
+	// AvoidedUntil holds until when, in this reader's time, an engine gets no items.
+	AvoidedUntil map[ident.BackendName]clock.Millis
+	// CaughtUp tells that records are read as they come, not in arrears.
+	CaughtUp bool
+	// LatestJob finds the newest job that has an item, for items brought back.
+	LatestJob map[ident.Item]ident.Job
+	// Usage is what is known of each window of use.
+	Usage map[ident.Window]*WindowUsage
+	Next  ident.Offset
 }
 
 // NewState returns an empty state.
 func NewState() *State {
 	return &State{
-		Jobs: map[ident.Job]*Job{}, Members: map[ident.InstanceName]*Member{}, Holds: map[string]RoleHolder{},
+		Jobs: map[ident.Job]*Job{}, Members: map[ident.InstanceName]*Member{}, RoleHolders: map[string]RoleHolder{},
 		Weights: map[EngineModel]Weights{}, LastOrders: map[string]LastOrder{}, Loads: map[ident.BackendName]Load{}, Paces: map[ident.BackendName]Pace{},
-		Kept: map[ident.Item]ident.Job{}, Avoided: map[ident.BackendName]clock.Millis{},
-		Claims: map[ident.InstanceName]map[ItemKey]struct{}{}, Faults: map[ident.BackendName]float64{},
-		Use: map[ident.Window]*WindowUsage{},
+		LatestJob: map[ident.Item]ident.Job{}, AvoidedUntil: map[ident.BackendName]clock.Millis{},
+		Claims: map[ident.InstanceName]map[ItemKey]struct{}{}, FailureRates: map[ident.BackendName]float64{},
+		Usage: map[ident.Window]*WindowUsage{},
 	}
 }
 
@@ -201,33 +201,33 @@
 		return
 	}
 	job := &Job{
-		Accept: a, Seen: now, Backlog: !s.Current, Items: make([]Item, len(a.Items)), Waiting: len(a.Items),
-		Longest: map[ident.Group]ident.Tokens{}, Brought: map[ident.Group]bool{},
+		Accept: a, SeenAt: now, FromBacklog: !s.CaughtUp, Items: make([]Item, len(a.Items)), Waiting: len(a.Items),
+		GroupLengths: map[ident.Group]ident.Tokens{}, ResubmittedGroups: map[ident.Group]bool{},
 	}
 	for i, plan := range a.Items {
 		job.Items[i] = s.fresh(a, plan)
-		job.Longest[plan.Group] = max(job.Longest[plan.Group], plan.Expect)
-		if job.Items[i].Brought {
-			job.Brought[plan.Group] = true
+		job.GroupLengths[plan.Group] = max(job.GroupLengths[plan.Group], plan.Expect)
+		if job.Items[i].Resubmitted {
+			job.ResubmittedGroups[plan.Group] = true
 		}
-		s.Kept[plan.ID] = a.Job
+		s.LatestJob[plan.ID] = a.Job
 	}
 	job.Accept.Items = nil
 	s.Jobs[a.Job] = job
-	s.Order = append(s.Order, a.Job)
+	s.JobOrder = append(s.JobOrder, a.Job)
 }
 
 // fresh returns an item as its job begins. If an earlier job had it, what was
 // kept of its text is taken over where the versions allow.
 func (s *State) fresh(a Accept, plan ItemSpec) Item {
 	item := Item{ItemSpec: plan}
-	earlier := s.Jobs[s.Kept[plan.ID]]
+	earlier := s.Jobs[s.LatestJob[plan.ID]]
 	if earlier == nil {
 		return item
 	}
-	item.Brought = true
+	item.Resubmitted = true
 	for _, old := range earlier.Items {
-		if old.ID == plan.ID && old.Partial.Fits(a.Least, a.Single) {
+		if old.ID == plan.ID && old.Partial.Fits(a.MinVersion, a.SingleVersion) {
 			item.Partial = old.Partial
 		}
 	}
@@ -304,7 +304,7 @@
 	item.take(y.Partial)
 	if item.Owner == y.By {
 		if y.Failed {
-			item.FailedAt = append(item.FailedAt, item.Engine)
+			item.FailedEngines = append(item.FailedEngines, item.Engine)
 			s.judge(item.Engine, 1)
 		}
 		s.release(job, y.Index)
@@ -316,8 +316,8 @@
 // arrears: then its time is over, or nearly.
 func (s *State) defers(d Defer, now clock.Millis) {
 	s.hear(d.By, now)
-	if _, item := s.item(d.Job, d.Index); item != nil && s.Current {
-		item.Deferred = max(item.Deferred, now+clock.Millis(d.Millis))
+	if _, item := s.item(d.Job, d.Index); item != nil && s.CaughtUp {
+		item.DeferredUntil = max(item.DeferredUntil, now+clock.Millis(d.Millis))
 	}
 }
 
@@ -330,7 +330,7 @@
 
 // take keeps a beginning of the text if it is longer than the one that is kept.
 func (i *Item) take(p Partial) {
-	if p.Events > i.Partial.Events || (p.Whole && !i.Partial.Whole) {
+	if p.Events > i.Partial.Events || (p.Complete && !i.Partial.Complete) {
 		i.Partial = p
 	}
 }
@@ -350,7 +350,7 @@
 	item.Done = true
 	item.Partial = Partial{}
 	if f.State == Completed {
-		item.Partial = Partial{Texts: f.Texts, Events: f.Events, Versions: f.Versions, Whole: true}
+		item.Partial = Partial{Texts: f.Texts, Events: f.Events, Versions: f.Versions, Complete: true}
 	}
 	job.Results = append(job.Results, Result{Index: f.Index, Finish: f})
 }
@@ -361,7 +361,7 @@
 		return
 	}
 	job.Ended = true
-	job.EndSeen = now
+	job.EndSeenAt = now
 	for i := range job.Items {
 		s.release(job, i)
 	}
@@ -370,20 +370,20 @@
 // Forget drops jobs that were accepted before the given time of this reader
 // and are over or too old to matter to anybody.
 func (s *State) Forget(before clock.Millis) {
-	kept := s.Order[:0]
-	for _, id := range s.Order {
+	kept := s.JobOrder[:0]
+	for _, id := range s.JobOrder {
 		job := s.Jobs[id]
-		if job.Seen >= before {
+		if job.SeenAt >= before {
 			kept = append(kept, id)
 			continue
 		}
 		for i := range job.Items {
 			s.release(job, i)
-			if s.Kept[job.Items[i].ID] == id {
-				delete(s.Kept, job.Items[i].ID)
+			if s.LatestJob[job.Items[i].ID] == id {
+				delete(s.LatestJob, job.Items[i].ID)
 			}
 		}
 		delete(s.Jobs, id)
 	}
-	s.Order = kept
+	s.JobOrder = kept
 }
--- a/kernel/jobs/codec.go
+++ b/kernel/jobs/codec.go
@@ -135,9 +135,9 @@
 	w.text(string(a.Service))
 	w.text(string(a.Model))
 	w.int(int64(a.Step))
-	w.int(int64(a.Least))
-	w.int(int64(a.Wanted))
-	w.flag(a.Single)
+	w.int(int64(a.MinVersion))
+	w.int(int64(a.WantedGroups))
+	w.flag(a.SingleVersion)
 	w.length(len(a.Items))
 	for _, item := range a.Items {
 		w.text(string(item.ID))
@@ -199,7 +199,7 @@
 	w.spans(p.Texts)
 	w.int(int64(p.Events))
 	w.versions(p.Versions)
-	w.flag(p.Whole)
+	w.flag(p.Complete)
 }
 
 func (w *writer) speed(s Timing) {
@@ -282,7 +282,7 @@
 }
 
 func (r *reader) partial() Partial {
-	return Partial{Texts: r.spans(), Events: int(r.int()), Versions: r.versions(), Whole: r.flag()}
+	return Partial{Texts: r.spans(), Events: int(r.int()), Versions: r.versions(), Complete: r.flag()}
 }
 
 func (r *reader) speed() Timing {
@@ -364,8 +364,8 @@
 func (r *reader) accept() Record {
 	a := Accept{
 		Job: ident.Job(r.text()), Host: r.text(), Prefix: r.text(), Service: ident.Service(r.text()),
-		Model: ident.Model(r.text()), Step: ident.Step(r.int()), Least: ident.Version(r.int()),
-		Wanted: int(r.int()), Single: r.flag(),
+		Model: ident.Model(r.text()), Step: ident.Step(r.int()), MinVersion: ident.Version(r.int()),
+		WantedGroups: int(r.int()), SingleVersion: r.flag(),
 	}
 	n := r.length()
 	for range n {
--- a/kernel/jobs/engine.go
+++ b/kernel/jobs/engine.go
@@ -15,11 +15,11 @@
 	}
 	seen := float64(timing.Millis) / float64(timing.Events)
 	pace := s.Paces[timing.Engine]
-	if pace.PerEvent == 0 {
-		pace.PerEvent = seen
+	if pace.MillisPerEvent == 0 {
+		pace.MillisPerEvent = seen
 	}
 	weight := float64(timing.Events) / float64(timing.Events+paceEvents)
-	pace.PerEvent += weight * (seen - pace.PerEvent)
+	pace.MillisPerEvent += weight * (seen - pace.MillisPerEvent)
 	s.Paces[timing.Engine] = pace
 }
 
@@ -28,14 +28,14 @@
 
 // judge notes the end of a run: 1 is a failure of the engine, 0 a whole text.
 func (s *State) judge(engine ident.BackendName, failure float64) {
-	s.Faults[engine] += faultWeight * (failure - s.Faults[engine])
+	s.FailureRates[engine] += faultWeight * (failure - s.FailureRates[engine])
 }
 
 // avoid keeps items from an engine for a while, unless the record is read in
 // arrears: then its time is over, or nearly.
 func (s *State) avoid(a Avoid, now clock.Millis) {
 	s.hear(a.By, now)
-	if s.Current {
-		s.Avoided[a.Engine] = max(s.Avoided[a.Engine], now+clock.Millis(a.Millis))
+	if s.CaughtUp {
+		s.AvoidedUntil[a.Engine] = max(s.AvoidedUntil[a.Engine], now+clock.Millis(a.Millis))
 	}
 }
--- a/kernel/jobs/jobs_test.go
+++ b/kernel/jobs/jobs_test.go
@@ -20,7 +20,7 @@
 }
 
 func accept(job ident.Job, least ident.Version, items ...ident.Item) Accept {
-	a := Accept{Job: job, Host: "h", Prefix: "/p/", Service: "s", Model: "m", Least: least, Wanted: 1}
+	a := Accept{Job: job, Host: "h", Prefix: "/p/", Service: "s", Model: "m", MinVersion: least, WantedGroups: 1}
 	for _, id := range items {
 		a.Items = append(a.Items, ItemSpec{ID: id, Group: "g", Expect: 100, Body: Span{Stream: "bodies.1", First: 3, Count: 1}})
 	}
@@ -37,7 +37,7 @@
 }
 
 func TestCodec(t *testing.T) {
-	partial := Partial{Texts: []Span{{Stream: "texts.2", First: 9, Count: 2}}, Events: 7, Versions: []ident.Version{1, 2}, Whole: true}
+	partial := Partial{Texts: []Span{{Stream: "texts.2", First: 9, Count: 2}}, Events: 7, Versions: []ident.Version{1, 2}, Complete: true}
 	speed := Timing{Engine: "e", Events: 7, Millis: 300}
 	records := []Record{
 		accept("j", 2, "a", "b"),
@@ -113,14 +113,14 @@
 
 func TestFaults(t *testing.T) {
 	b := fold(accept("j", 1, "a", "b"), claimOf("j", "x", 0, 0), Yield{Job: "j", By: "x", Failed: true})
-	if got := b.Jobs["j"].Items[0].FailedAt; len(got) != 1 || got[0] != "e" || b.Faults["e"] == 0 {
-		t.Errorf("failed at %v, share %v, want once at e", got, b.Faults["e"])
+	if got := b.Jobs["j"].Items[0].FailedEngines; len(got) != 1 || got[0] != "e" || b.FailureRates["e"] == 0 {
+		t.Errorf("failed at %v, share %v, want once at e", got, b.FailureRates["e"])
 	}
-	before := b.Faults["e"]
+	before := b.FailureRates["e"]
 	b.Apply(9, claimOf("j", "x", 1, 0), 0)
 	b.Apply(10, Finish{Job: "j", By: "x", Index: 1, State: Completed}, 0)
-	if b.Faults["e"] >= before {
-		t.Errorf("the share stayed at %v after a whole text", b.Faults["e"])
+	if b.FailureRates["e"] >= before {
+		t.Errorf("the share stayed at %v after a whole text", b.FailureRates["e"])
 	}
 }
 
@@ -135,8 +135,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := fold(accept("j", 1, "a"), SavePartial{Job: "j", Partial: kept}, End{Job: "j"}, accept("k", c.least, "a"))
 			item := b.Jobs["k"].Items[0]
-			if !item.Brought || item.Partial.Events != c.want {
-				t.Errorf("brought %v with %d events, want %d", item.Brought, item.Partial.Events, c.want)
+			if !item.Resubmitted || item.Partial.Events != c.want {
+				t.Errorf("brought %v with %d events, want %d", item.Resubmitted, item.Partial.Events, c.want)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 func TestHolds(t *testing.T) {
 	t.Run("of two that follow the same hold the first counts", func(t *testing.T) {
 		b := fold(Hold{Role: "r", By: "x"}, Hold{Role: "r", By: "y", Replaces: 1}, Hold{Role: "r", By: "z", Replaces: 1})
-		if h := b.Holds["r"]; h.By != "y" || h.Fence != 2 {
+		if h := b.RoleHolders["r"]; h.By != "y" || h.Fence != 2 {
 			t.Errorf("held by %q with %d, want y with 2", h.By, h.Fence)
 		}
 	})
@@ -162,7 +162,7 @@
 	if b.Alive("n~1", 0) || !b.Alive("n~2", 0) || !b.Alive("m~1", 0) {
 		t.Error("a new life must end the earlier lives of the same instance, and only these")
 	}
-	b.Shift(1000)
+	b.ShiftLastHeard(1000)
 	if !b.Alive("m~1", 900) {
 		t.Error("silence that nobody could hear must not count")
 	}
@@ -318,23 +318,23 @@
 func TestReadInArrears(t *testing.T) {
 	for _, current := range []bool{true, false} {
 		b := NewState()
-		b.Current = current
+		b.CaughtUp = current
 		const now = 100 * clock.Second
 		b.Apply(1, Hold{Role: "r", By: "i"}, now)
 		b.Apply(2, LoadOrder{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2}, now)
 		b.Apply(3, Avoid{By: "i", Engine: "e", Millis: 400}, now)
 		b.Apply(4, accept("j", 1, "a"), now)
-		if avoided := b.Avoided["e"] > now; avoided != current {
+		if avoided := b.AvoidedUntil["e"] > now; avoided != current {
 			t.Errorf("current %v: engine avoided %v", current, avoided)
 		}
-		if loading := b.Weights[EngineModel{Engine: "e", Model: "m"}].OrderSeen == now; loading != current {
+		if loading := b.Weights[EngineModel{Engine: "e", Model: "m"}].OrderSeenAt == now; loading != current {
 			t.Errorf("current %v: order counts as just given %v", current, loading)
 		}
-		if b.LastOrders["e"].Seen != now {
-			t.Errorf("current %v: the lease counts from %d, want %d", current, b.LastOrders["e"].Seen, now)
+		if b.LastOrders["e"].SeenAt != now {
+			t.Errorf("current %v: the lease counts from %d, want %d", current, b.LastOrders["e"].SeenAt, now)
 		}
-		if b.Jobs["j"].Backlog == current {
-			t.Errorf("current %v: backlog %v", current, b.Jobs["j"].Backlog)
+		if b.Jobs["j"].FromBacklog == current {
+			t.Errorf("current %v: backlog %v", current, b.Jobs["j"].FromBacklog)
 		}
 	}
 }
--- a/kernel/jobs/member.go
+++ b/kernel/jobs/member.go
@@ -14,8 +14,8 @@
 	m.Zone, m.Address, m.Leaving = r.Zone, r.Address, r.Leaving
 }
 
-// Signs tells whether a record is a sign of life of the instance that wrote it.
-func Signs(r Record) bool {
+// IsSignOfLife tells whether a record is a sign of life of the instance that wrote it.
+func IsSignOfLife(r Record) bool {
 	switch r.(type) {
 	case Heartbeat, Claim, Yield, SavePartial, Finish, Avoid, Hold, Defer:
 		return true
@@ -28,7 +28,7 @@
 func (s *State) supersede(by ident.InstanceName) {
 	for _, m := range s.Members {
 		if m.Name.ListName() == by.ListName() {
-			m.Over = true
+			m.Superseded = true
 		}
 	}
 }
@@ -39,7 +39,7 @@
 		m = &Member{Name: by}
 		s.Members[by] = m
 	}
-	m.Heard = now
+	m.LastHeard = now
 }
 
 // Live returns the members that were heard since the given time of this reader,
@@ -66,46 +66,46 @@
 }
 
 func (m *Member) takesWork(since clock.Millis) bool {
-	return !m.Leaving && !m.Over && m.Heard >= since
+	return !m.Leaving && !m.Superseded && m.LastHeard >= since
 }
 
 // Alive tells whether a member may still be doing what it claimed.
 func (s *State) Alive(name ident.InstanceName, since clock.Millis) bool {
 	m := s.Members[name]
-	return m != nil && !m.Over && m.Heard >= since
+	return m != nil && !m.Superseded && m.LastHeard >= since
 }
 
-// Shift moves the times at which members were heard and engines are to be used
+// ShiftLastHeard moves the times at which members were heard and engines are to be used
 // again by a span in which this reader could not read: silence that nobody
 // could hear does not count.
-func (s *State) Shift(span clock.Millis) {
+func (s *State) ShiftLastHeard(span clock.Millis) {
 	for _, m := range s.Members {
-		m.Heard += span
+		m.LastHeard += span
 	}
 }
 
 func (s *State) hold(offset ident.Offset, h Hold, now clock.Millis) {
 	s.hear(h.By, now)
-	if ident.Offset(s.Holds[h.Role].Fence) != h.Replaces {
+	if ident.Offset(s.RoleHolders[h.Role].Fence) != h.Replaces {
 		return
 	}
-	s.Holds[h.Role] = RoleHolder{By: h.By, Fence: ident.Fence(offset)}
+	s.RoleHolders[h.Role] = RoleHolder{By: h.By, Fence: ident.Fence(offset)}
 }
 
 // longAgo is longer than any load takes.
 const longAgo = 60 * clock.Second
 
 func (s *State) order(o LoadOrder, now clock.Millis) {
-	holding := s.Holds[o.Role]
+	holding := s.RoleHolders[o.Role]
 	if holding.Fence != o.Fence {
 		return
 	}
-	s.LastOrders[o.Engine.ListName()] = LastOrder{By: holding.By, Fence: o.Fence, Seen: now}
+	s.LastOrders[o.Engine.ListName()] = LastOrder{By: holding.By, Fence: o.Fence, SeenAt: now}
 	key := EngineModel{Engine: o.Engine, Model: o.Model}
 	w := s.Weights[key]
-	w.Ordered, w.OrderSeen = o.Version, now
-	if !s.Current {
-		w.OrderSeen = now - longAgo
+	w.Ordered, w.OrderSeenAt = o.Version, now
+	if !s.CaughtUp {
+		w.OrderSeenAt = now - longAgo
 	}
 	s.Weights[key] = w
 }
--- a/kernel/jobs/record.go
+++ b/kernel/jobs/record.go
@@ -49,13 +49,13 @@
 	Service ident.Service
 	Model   ident.Model
 	Step    ident.Step
-	// Least is the oldest version whose tokens the job takes.
-	Least ident.Version
-	// Wanted is how many whole groups its trainer waits for; 0 is all.
-	Wanted int
-	// Single tells that one version must have made the whole of a text.
-	Single bool
-	Items  []ItemSpec
+	// MinVersion is the oldest version whose tokens the job takes.
+	MinVersion ident.Version
+	// WantedGroups is how many whole groups its trainer waits for; 0 is all.
+	WantedGroups int
+	// SingleVersion tells that one version must have made the whole of a text.
+	SingleVersion bool
+	Items         []ItemSpec
 	// Organisation is whose job it is; empty if nobody's.
 	Organisation ident.Organisation
 }
@@ -131,8 +131,8 @@
 	Texts    []Span
 	Events   int
 	Versions []ident.Version
-	// Whole tells that nothing but the reward is missing.
-	Whole bool
+	// Complete tells that nothing but the reward is missing.
+	Complete bool
 }
 
 // Fits tells whether the text may be used in a job that takes tokens of least
--- a/kernel/jobs/use.go
+++ b/kernel/jobs/use.go
@@ -26,20 +26,20 @@
 
 // window returns a window's state, forgetting the oldest ones.
 func (s *State) window(w ident.Window) *WindowUsage {
-	if s.Use[w] == nil {
-		s.Use[w] = &WindowUsage{Counts: map[ident.Organisation]int64{}}
+	if s.Usage[w] == nil {
+		s.Usage[w] = &WindowUsage{Counts: map[ident.Organisation]int64{}}
 	}
-	for len(s.Use) > mostWindows {
+	for len(s.Usage) > mostWindows {
 		oldest := w
-		for known := range s.Use {
+		for known := range s.Usage {
 			oldest = min(oldest, known)
 		}
 		if oldest == w {
 			break
 		}
-		delete(s.Use, oldest)
+		delete(s.Usage, oldest)
 	}
-	return s.Use[w]
+	return s.Usage[w]
 }
 
 // applyUse folds a record on use.
@@ -66,7 +66,7 @@
 }
 
 func (s *State) usage(u UsageTotal) {
-	if s.Holds[u.Role].Fence != u.Fence {
+	if s.RoleHolders[u.Role].Fence != u.Fence {
 		return
 	}
 	if w := s.window(u.Window); !w.Settled {
