--- a/kernel/jobs/book.go
+++ b/kernel/jobs/book.go
@@ -174,21 +174,21 @@
 	case Yield:
 		s.yield(r, now)
 	case SavePartial:
-		s.keep(r, now)
+		s.savePartial(r, now)
 	case Finish:
 		s.finish(r, now)
 	case End:
 		s.end(r, now)
 	case Heartbeat:
-		s.beat(r, now)
+		s.heartbeat(r, now)
 	case Hold:
 		s.hold(offset, r, now)
 	case LoadOrder:
-		s.order(r, now)
+		s.loadOrder(r, now)
 	case Loaded:
 		s.loaded(r)
 	case UsageDelta, UsageTotal, UsageReported:
-		s.applyUse(r)
+		s.applyUsage(r)
 	case Avoid:
 		s.avoid(r, now)
 	case Defer:
@@ -205,7 +205,7 @@
 		GroupLengths: map[ident.Group]ident.Tokens{}, ResubmittedGroups: map[ident.Group]bool{},
 	}
 	for i, plan := range a.Items {
-		job.Items[i] = s.fresh(a, plan)
+		job.Items[i] = s.newItem(a, plan)
 		job.GroupLengths[plan.Group] = max(job.GroupLengths[plan.Group], plan.Expect)
 		if job.Items[i].Resubmitted {
 			job.ResubmittedGroups[plan.Group] = true
@@ -217,9 +217,9 @@
 	s.JobOrder = append(s.JobOrder, a.Job)
 }
 
-// fresh returns an item as its job begins. If an earlier job had it, what was
+// newItem returns an item as its job begins. If an earlier job had it, what was
 // kept of its text is taken over where the versions allow.
-func (s *State) fresh(a Accept, plan ItemSpec) Item {
+func (s *State) newItem(a Accept, plan ItemSpec) Item {
 	item := Item{ItemSpec: plan}
 	earlier := s.Jobs[s.LatestJob[plan.ID]]
 	if earlier == nil {
@@ -234,8 +234,8 @@
 	return item
 }
 
-// item returns the item if it can still get a result.
-func (s *State) item(id ident.Job, index int) (*Job, *Item) {
+// unfinishedItem returns the unfinishedItem if it can still get a result.
+func (s *State) unfinishedItem(id ident.Job, index int) (*Job, *Item) {
 	job := s.Jobs[id]
 	if job == nil || index < 0 || index >= len(job.Items) || job.Items[index].Done {
 		return nil, nil
@@ -244,22 +244,22 @@
 }
 
 func (s *State) claim(offset ident.Offset, c Claim, now clock.Millis) {
-	s.hear(c.Writer(), now)
+	s.markHeard(c.Writer(), now)
 	for _, t := range c.Targets {
-		job, item := s.item(c.Job, t.Index)
+		job, item := s.unfinishedItem(c.Job, t.Index)
 		if item == nil || job.Ended || item.Claim != t.Replaces {
 			continue
 		}
 		s.release(job, t.Index)
-		s.own(job, t.Index, c, offset)
+		s.assign(job, t.Index, c, offset)
 	}
 }
 
-// own puts a claim on an item that has none.
-func (s *State) own(job *Job, index int, c Claim, offset ident.Offset) {
+// assign puts a claim on an item that has none.
+func (s *State) assign(job *Job, index int, c Claim, offset ident.Offset) {
 	item := &job.Items[index]
 	item.Owner, item.Engine, item.Claim = c.By, c.Engine, offset
-	s.burden(item, 1)
+	s.adjustLoad(item, 1)
 	job.Waiting--
 	if s.Claims[c.By] == nil {
 		s.Claims[c.By] = map[ItemKey]struct{}{}
@@ -273,7 +273,7 @@
 	if item.Claim == 0 {
 		return
 	}
-	s.burden(item, -1)
+	s.adjustLoad(item, -1)
 	job.Waiting++
 	delete(s.Claims[item.Owner], ItemKey{Job: job.Job, Index: index})
 	if len(s.Claims[item.Owner]) == 0 {
@@ -282,8 +282,8 @@
 	item.Owner, item.Engine, item.Claim = "", "", 0
 }
 
-// burden adds an item to the load of its engine, or takes it off.
-func (s *State) burden(item *Item, sign int) {
+// adjustLoad adds an item to the load of its engine, or takes it off.
+func (s *State) adjustLoad(item *Item, sign int) {
 	load := s.Loads[item.Engine]
 	load.Items += sign
 	load.Expect += ident.Tokens(sign) * item.Expect
@@ -295,17 +295,17 @@
 }
 
 func (s *State) yield(y Yield, now clock.Millis) {
-	s.hear(y.By, now)
-	s.learn(y.Speed)
-	job, item := s.item(y.Job, y.Index)
+	s.markHeard(y.By, now)
+	s.updatePace(y.Speed)
+	job, item := s.unfinishedItem(y.Job, y.Index)
 	if item == nil {
 		return
 	}
-	item.take(y.Partial)
+	item.updatePartial(y.Partial)
 	if item.Owner == y.By {
 		if y.Failed {
 			item.FailedEngines = append(item.FailedEngines, item.Engine)
-			s.judge(item.Engine, 1)
+			s.updateFailureRate(item.Engine, 1)
 		}
 		s.release(job, y.Index)
 		item.Yields++
@@ -315,35 +315,35 @@
 // defers keeps an item from all engines for a while, unless the record is read in
 // arrears: then its time is over, or nearly.
 func (s *State) defers(d Defer, now clock.Millis) {
-	s.hear(d.By, now)
-	if _, item := s.item(d.Job, d.Index); item != nil && s.CaughtUp {
+	s.markHeard(d.By, now)
+	if _, item := s.unfinishedItem(d.Job, d.Index); item != nil && s.CaughtUp {
 		item.DeferredUntil = max(item.DeferredUntil, now+clock.Millis(d.Millis))
 	}
 }
 
-func (s *State) keep(k SavePartial, now clock.Millis) {
-	s.hear(k.By, now)
-	if _, item := s.item(k.Job, k.Index); item != nil {
-		item.take(k.Partial)
+func (s *State) savePartial(k SavePartial, now clock.Millis) {
+	s.markHeard(k.By, now)
+	if _, item := s.unfinishedItem(k.Job, k.Index); item != nil {
+		item.updatePartial(k.Partial)
 	}
 }
 
-// take keeps a beginning of the text if it is longer than the one that is kept.
-func (i *Item) take(p Partial) {
+// updatePartial keeps a beginning of the text if it is longer than the one that is kept.
+func (i *Item) updatePartial(p Partial) {
 	if p.Events > i.Partial.Events || (p.Complete && !i.Partial.Complete) {
 		i.Partial = p
 	}
 }
 
 func (s *State) finish(f Finish, now clock.Millis) {
-	s.hear(f.By, now)
-	s.learn(f.Speed)
-	job, item := s.item(f.Job, f.Index)
+	s.markHeard(f.By, now)
+	s.updatePace(f.Speed)
+	job, item := s.unfinishedItem(f.Job, f.Index)
 	if item == nil {
 		return
 	}
 	if item.Claim != 0 && f.State == Completed {
-		s.judge(item.Engine, 0)
+		s.updateFailureRate(item.Engine, 0)
 	}
 	s.release(job, f.Index)
 	job.Waiting--
--- a/kernel/jobs/codec.go
+++ b/kernel/jobs/codec.go
@@ -9,9 +9,9 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// maxList bounds the lists in a record, so that a corrupt length can't take
+// maxListLength bounds the lists in a record, so that a corrupt length can't take
 // all memory.
-const maxList = 1 << 20
+const maxListLength = 1 << 20
 
 // Encode returns a record's bytes: its kind, then its fields in order. Fields
 // may only be added at the end.
@@ -51,9 +51,9 @@
 		w.text(string(v.Model))
 		w.int(int64(v.Version))
 	case UsageDelta, UsageTotal, UsageReported:
-		w.use(v)
+		w.usage(v)
 	case SavePartial:
-		w.keep(v)
+		w.savePartial(v)
 	case Defer:
 		w.text(string(v.Job))
 		w.text(string(v.By))
@@ -103,8 +103,8 @@
 	}
 }
 
-// use writes the fields of the records on use.
-func (w *writer) use(r Record) {
+// usage writes the fields of the records on usage.
+func (w *writer) usage(r Record) {
 	switch v := r.(type) {
 	case UsageDelta:
 		w.text(string(v.By))
@@ -181,7 +181,7 @@
 	w.speed(f.Speed)
 }
 
-func (w *writer) keep(k SavePartial) {
+func (w *writer) savePartial(k SavePartial) {
 	w.text(string(k.Job))
 	w.text(string(k.By))
 	w.int(int64(k.Index))
@@ -214,7 +214,7 @@
 	err     error
 }
 
-func (r *reader) keep(err error) {
+func (r *reader) setErr(err error) {
 	if r.err == nil {
 		r.err = err
 	}
@@ -225,12 +225,12 @@
 		return ""
 	}
 	s, err := r.decoder.DecodeString()
-	r.keep(err)
+	r.setErr(err)
 	return s
 }
 
-// added reads a text at the end of a record; older programs did not write it.
-func (r *reader) added() string {
+// optionalText reads a text at the end of a record; older programs did not write it.
+func (r *reader) optionalText() string {
 	if _, err := r.decoder.PeekCode(); err != nil {
 		return ""
 	}
@@ -242,7 +242,7 @@
 		return 0
 	}
 	n, err := r.decoder.DecodeInt64()
-	r.keep(err)
+	r.setErr(err)
 	return n
 }
 
@@ -251,7 +251,7 @@
 		return false
 	}
 	b, err := r.decoder.DecodeBool()
-	r.keep(err)
+	r.setErr(err)
 	return b
 }
 
@@ -260,9 +260,9 @@
 		return 0
 	}
 	n, err := r.decoder.DecodeArrayLen()
-	r.keep(err)
-	if n < 0 || n > maxList {
-		r.keep(fault.New("jobs.Decode", Corrupt, "a list is too long"))
+	r.setErr(err)
+	if n < 0 || n > maxListLength {
+		r.setErr(fault.New("jobs.Decode", Corrupt, "a list is too long"))
 		return 0
 	}
 	return n
@@ -325,20 +325,20 @@
 		}
 	case endKind:
 		return End{Job: ident.Job(r.text())}
-	case beatKind:
+	case heartbeatKind:
 		return Heartbeat{By: ident.InstanceName(r.text()), Zone: ident.Zone(r.text()), Leaving: r.flag(), Address: ident.Address(r.text())}
 	case holdKind:
 		return Hold{Role: r.text(), By: ident.InstanceName(r.text()), Replaces: ident.Offset(r.int())}
-	case orderKind:
+	case loadOrderKind:
 		return LoadOrder{
 			Role: r.text(), Fence: ident.Fence(r.int()), Engine: ident.BackendName(r.text()),
 			Model: ident.Model(r.text()), Version: ident.Version(r.int()),
 		}
 	case loadedKind:
 		return Loaded{Engine: ident.BackendName(r.text()), Model: ident.Model(r.text()), Version: ident.Version(r.int())}
-	case usedKind, usageKind, reportedKind:
-		return r.use(kind)
-	case keepKind:
+	case usageDeltaKind, usageTotalKind, usageReportedKind:
+		return r.usage(kind)
+	case savePartialKind:
 		return SavePartial{Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Partial: r.partial()}
 	case deferKind:
 		return Defer{Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Millis: int(r.int())}
@@ -349,12 +349,12 @@
 	}
 }
 
-// use reads the fields of the records on use.
-func (r *reader) use(kind recordKind) Record {
+// usage reads the fields of the records on usage.
+func (r *reader) usage(kind recordKind) Record {
 	switch kind {
-	case usedKind:
+	case usageDeltaKind:
 		return UsageDelta{By: ident.InstanceName(r.text()), Window: ident.Window(r.int()), Counts: r.counts()}
-	case usageKind:
+	case usageTotalKind:
 		return UsageTotal{Role: r.text(), Fence: ident.Fence(r.int()), Window: ident.Window(r.int()), Counts: r.counts()}
 	default:
 		return UsageReported{Window: ident.Window(r.int())}
@@ -373,7 +373,7 @@
 			ID: ident.Item(r.text()), Group: ident.Group(r.text()), Expect: ident.Tokens(r.int()), Body: r.span(),
 		})
 	}
-	a.Organisation = ident.Organisation(r.added())
+	a.Organisation = ident.Organisation(r.optionalText())
 	return a
 }
 
@@ -383,6 +383,6 @@
 	for range n {
 		c.Targets = append(c.Targets, Target{Index: int(r.int()), Replaces: ident.Offset(r.int())})
 	}
-	c.Dealer = ident.InstanceName(r.added())
+	c.Dealer = ident.InstanceName(r.optionalText())
 	return c
 }
--- a/kernel/jobs/jobs_test.go
+++ b/kernel/jobs/jobs_test.go
@@ -172,17 +172,17 @@
 // late, twice and in any order, with rebuilds from the start.
 type ledgerModel struct {
 	records []Record
-	book    *State
-	// listed is what callers have read: it must never change.
-	listed   map[ident.Job][]Result
-	accepted map[ident.Job]int
+	state   *State
+	// seenResults is what callers have read: it must never change.
+	seenResults map[ident.Job][]Result
+	accepted    map[ident.Job]int
 }
 
 var modelNames = []ident.InstanceName{"a~1", "b~1", "c~1", "a~2"}
 
 func (m *ledgerModel) write(r Record) {
 	m.records = append(m.records, r)
-	m.book.Apply(ident.Offset(len(m.records)), r, clock.Millis(len(m.records)))
+	m.state.Apply(ident.Offset(len(m.records)), r, clock.Millis(len(m.records)))
 }
 
 func (m *ledgerModel) job(t *rapid.T) ident.Job {
@@ -222,8 +222,8 @@
 
 func (m *ledgerModel) beat(t *rapid.T) { m.write(Heartbeat{By: m.name(t), Zone: "z"}) }
 
-// again writes an old record once more, as a repeated append may.
-func (m *ledgerModel) again(t *rapid.T) {
+// repeat writes an old record once more, as a repeated append may.
+func (m *ledgerModel) repeat(t *rapid.T) {
 	if len(m.records) > 0 {
 		m.write(rapid.SampledFrom(m.records).Draw(t, "record"))
 	}
@@ -236,20 +236,20 @@
 	for i, r := range m.records {
 		fresh.Apply(ident.Offset(i+1), r, clock.Millis(1_000_000+i*7))
 	}
-	m.book = fresh
+	m.state = fresh
 }
 
 func (m *ledgerModel) check(t *rapid.T) {
 	for job, total := range m.accepted {
-		j := m.book.Jobs[job]
+		j := m.state.Jobs[job]
 		if j == nil || len(j.Items) != total {
 			t.Fatalf("accepted job %s has lost items", job)
 		}
 		m.checkPositions(t, j)
 		m.checkIndexes(t, j)
 	}
-	for engine, load := range m.book.Loads {
-		if n := claimedAt(m.book, engine); n != load.Items {
+	for engine, load := range m.state.Loads {
+		if n := claimedAt(m.state, engine); n != load.Items {
 			t.Fatalf("load of %s is %d, %d items are claimed", engine, load.Items, n)
 		}
 	}
@@ -262,12 +262,12 @@
 		if i.Claim == 0 && !i.Done {
 			waiting++
 		}
-		for owner, keys := range m.book.Claims {
+		for owner, keys := range m.state.Claims {
 			if _, has := keys[ItemKey{Job: j.Job, Index: n}]; has != (i.Claim != 0 && i.Owner == owner) {
 				t.Fatalf("item %d of %s has owner %q and claim %d, the index of %s says %v", n, j.Job, i.Owner, i.Claim, owner, has)
 			}
 		}
-		if _, has := m.book.Claims[i.Owner][ItemKey{Job: j.Job, Index: n}]; i.Claim != 0 && !has {
+		if _, has := m.state.Claims[i.Owner][ItemKey{Job: j.Job, Index: n}]; i.Claim != 0 && !has {
 			t.Fatalf("item %d of %s is missing in the index of %s", n, j.Job, i.Owner)
 		}
 	}
@@ -289,7 +289,7 @@
 }
 
 func (m *ledgerModel) checkPositions(t *rapid.T, j *Job) {
-	before := m.listed[j.Job]
+	before := m.seenResults[j.Job]
 	if len(j.Results) < len(before) || (len(before) > 0 && !reflect.DeepEqual(j.Results[:len(before)], before)) {
 		t.Fatalf("results of %s have moved", j.Job)
 	}
@@ -300,15 +300,15 @@
 		}
 		seen[r.Index] = true
 	}
-	m.listed[j.Job] = append([]Result(nil), j.Results...)
+	m.seenResults[j.Job] = append([]Result(nil), j.Results...)
 }
 
 func TestLedgerOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ledgerModel{book: NewState(), listed: map[ident.Job][]Result{}, accepted: map[ident.Job]int{}}
+		m := &ledgerModel{state: NewState(), seenResults: map[ident.Job][]Result{}, accepted: map[ident.Job]int{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"accept": m.accept, "claim": m.claim, "finish": m.finish, "yield": m.yield, "end": m.end,
-			"beat": m.beat, "again": m.again, "rebuild": m.rebuild, "": m.check,
+			"beat": m.beat, "again": m.repeat, "rebuild": m.rebuild, "": m.check,
 		})
 	})
 }
--- a/kernel/jobs/member.go
+++ b/kernel/jobs/member.go
@@ -5,11 +5,11 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-func (s *State) beat(r Heartbeat, now clock.Millis) {
+func (s *State) heartbeat(r Heartbeat, now clock.Millis) {
 	if s.Members[r.By] == nil {
 		s.supersede(r.By)
 	}
-	s.hear(r.By, now)
+	s.markHeard(r.By, now)
 	m := s.Members[r.By]
 	m.Zone, m.Address, m.Leaving = r.Zone, r.Address, r.Leaving
 }
@@ -33,7 +33,7 @@
 	}
 }
 
-func (s *State) hear(by ident.InstanceName, now clock.Millis) {
+func (s *State) markHeard(by ident.InstanceName, now clock.Millis) {
 	m := s.Members[by]
 	if m == nil {
 		m = &Member{Name: by}
@@ -47,7 +47,7 @@
 func (s *State) Live(since clock.Millis) []Member {
 	var live []Member
 	for _, m := range s.Members {
-		if m.takesWork(since) {
+		if m.acceptsWork(since) {
 			live = append(live, *m)
 		}
 	}
@@ -58,14 +58,14 @@
 func (s *State) LiveCount(since clock.Millis) int {
 	n := 0
 	for _, m := range s.Members {
-		if m.takesWork(since) {
+		if m.acceptsWork(since) {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *Member) takesWork(since clock.Millis) bool {
+func (m *Member) acceptsWork(since clock.Millis) bool {
 	return !m.Leaving && !m.Superseded && m.LastHeard >= since
 }
 
@@ -85,17 +85,17 @@
 }
 
 func (s *State) hold(offset ident.Offset, h Hold, now clock.Millis) {
-	s.hear(h.By, now)
+	s.markHeard(h.By, now)
 	if ident.Offset(s.RoleHolders[h.Role].Fence) != h.Replaces {
 		return
 	}
 	s.RoleHolders[h.Role] = RoleHolder{By: h.By, Fence: ident.Fence(offset)}
 }
 
-// longAgo is longer than any load takes.
-const longAgo = 60 * clock.Second
+// staleOrderAge is longer than any load takes.
+const staleOrderAge = 60 * clock.Second
 
-func (s *State) order(o LoadOrder, now clock.Millis) {
+func (s *State) loadOrder(o LoadOrder, now clock.Millis) {
 	holding := s.RoleHolders[o.Role]
 	if holding.Fence != o.Fence {
 		return
@@ -105,7 +105,7 @@
 	w := s.Weights[key]
 	w.Ordered, w.OrderSeenAt = o.Version, now
 	if !s.CaughtUp {
-		w.OrderSeenAt = now - longAgo
+		w.OrderSeenAt = now - staleOrderAge
 	}
 	s.Weights[key] = w
 }
--- a/kernel/jobs/record.go
+++ b/kernel/jobs/record.go
@@ -253,15 +253,15 @@
 	yieldKind
 	finishKind
 	endKind
-	beatKind
+	heartbeatKind
 	holdKind
-	orderKind
+	loadOrderKind
 	loadedKind
 	avoidKind
-	keepKind
-	usedKind
-	usageKind
-	reportedKind
+	savePartialKind
+	usageDeltaKind
+	usageTotalKind
+	usageReportedKind
 	deferKind
 )
 
@@ -270,13 +270,13 @@
 func (Yield) kind() recordKind         { return yieldKind }
 func (Finish) kind() recordKind        { return finishKind }
 func (End) kind() recordKind           { return endKind }
-func (Heartbeat) kind() recordKind     { return beatKind }
+func (Heartbeat) kind() recordKind     { return heartbeatKind }
 func (Hold) kind() recordKind          { return holdKind }
-func (LoadOrder) kind() recordKind     { return orderKind }
+func (LoadOrder) kind() recordKind     { return loadOrderKind }
 func (Loaded) kind() recordKind        { return loadedKind }
 func (Avoid) kind() recordKind         { return avoidKind }
-func (SavePartial) kind() recordKind   { return keepKind }
-func (UsageDelta) kind() recordKind    { return usedKind }
-func (UsageTotal) kind() recordKind    { return usageKind }
-func (UsageReported) kind() recordKind { return reportedKind }
+func (SavePartial) kind() recordKind   { return savePartialKind }
+func (UsageDelta) kind() recordKind    { return usageDeltaKind }
+func (UsageTotal) kind() recordKind    { return usageTotalKind }
+func (UsageReported) kind() recordKind { return usageReportedKind }
 func (Defer) kind() recordKind         { return deferKind }
--- a/kernel/jobs/use.go
+++ b/kernel/jobs/use.go
@@ -20,16 +20,16 @@
 	Reported bool
 }
 
-// mostWindows is how many windows are remembered: five minutes of the shortest that
+// maxWindows is how many windows are remembered: five minutes of the shortest that
 // the users' deployments have, 5 s.
-const mostWindows = 60
+const maxWindows = 60
 
 // window returns a window's state, forgetting the oldest ones.
 func (s *State) window(w ident.Window) *WindowUsage {
 	if s.Usage[w] == nil {
 		s.Usage[w] = &WindowUsage{Counts: map[ident.Organisation]int64{}}
 	}
-	for len(s.Usage) > mostWindows {
+	for len(s.Usage) > maxWindows {
 		oldest := w
 		for known := range s.Usage {
 			oldest = min(oldest, known)
@@ -42,19 +42,19 @@
 	return s.Usage[w]
 }
 
-// applyUse folds a record on use.
-func (s *State) applyUse(record Record) {
+// applyUsage folds a record on use.
+func (s *State) applyUsage(record Record) {
 	switch r := record.(type) {
 	case UsageDelta:
-		s.used(r)
+		s.usageDelta(r)
 	case UsageTotal:
-		s.usage(r)
+		s.usageTotal(r)
 	case UsageReported:
-		s.reported(r)
+		s.usageReported(r)
 	}
 }
 
-func (s *State) used(u UsageDelta) {
+func (s *State) usageDelta(u UsageDelta) {
 	w := s.window(u.Window)
 	for _, c := range u.Counts {
 		if w.Settled {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (s *State) usage(u UsageTotal) {
+func (s *State) usageTotal(u UsageTotal) {
 	if s.RoleHolders[u.Role].Fence != u.Fence {
 		return
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s *State) reported(r UsageReported) { s.window(r.Window).Reported = true }
+func (s *State) usageReported(r UsageReported) { s.window(r.Window).Reported = true }
 
 // Sorted returns the counts told so far, by organisation; none for a window of which
 // nobody told.
