--- a/kernel/jobs/codec.go
+++ b/kernel/jobs/codec.go
@@ -9,12 +9,11 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// maxListLength bounds the lists in a record, so that a corrupt length can't take
-// all memory.
+// maxListLength bounds the lists in a record: a corrupt length must not exhaust memory.
 const maxListLength = 1 << 20
 
-// Encode returns a record's bytes: its kind, then its fields in order. Fields
-// may only be added at the end.
+// Encode returns the bytes of a record: its kind, then its fields in order. New fields
+// may only be appended.
 func Encode(r Record) []byte {
 	w := &writer{}
 	w.encoder = msgpack.NewEncoder(&w.buffer)
@@ -67,19 +66,19 @@
 	return w.buffer.Bytes()
 }
 
-// Decode reads what Encode wrote. An unknown kind, from a newer program, gives
-// nil without an error.
+// Decode parses what Encode wrote. A record of an unknown kind, written by a newer
+// version of the program, yields nil and no error.
 func Decode(data []byte) (Record, error) {
 	r := &reader{decoder: msgpack.NewDecoder(bytes.NewReader(data))}
 	kind := recordKind(r.int())
 	record := r.record(kind)
 	if r.err != nil {
-		return nil, fault.Wrap("jobs.Decode", Corrupt, r.err, "unreadable record")
+		return nil, fault.Wrap("jobs.Decode", Corrupt, r.err, "cannot decode ledger record")
 	}
 	return record, nil
 }
 
-// writer encodes fields. Writing to a buffer does not fail.
+// writer encodes fields into a buffer, which cannot fail.
 type writer struct {
 	buffer  bytes.Buffer
 	encoder *msgpack.Encoder
@@ -103,7 +102,6 @@
 	}
 }
 
-// usage writes the fields of the records on usage.
 func (w *writer) usage(r Record) {
 	switch v := r.(type) {
 	case UsageDelta:
@@ -208,7 +206,7 @@
 	w.int(int64(s.Millis))
 }
 
-// reader decodes fields; after the first failure it returns zero values.
+// reader decodes fields; after the first error it returns zero values.
 type reader struct {
 	decoder *msgpack.Decoder
 	err     error
@@ -229,7 +227,8 @@
 	return s
 }
 
-// optionalText reads a text at the end of a record; older programs did not write it.
+// optionalText reads a trailing text field that older versions of the program did not
+// write.
 func (r *reader) optionalText() string {
 	if _, err := r.decoder.PeekCode(); err != nil {
 		return ""
@@ -262,7 +261,7 @@
 	n, err := r.decoder.DecodeArrayLen()
 	r.setErr(err)
 	if n < 0 || n > maxListLength {
-		r.setErr(fault.New("jobs.Decode", Corrupt, "a list is too long"))
+		r.setErr(fault.New("jobs.Decode", Corrupt, "list length out of range"))
 		return 0
 	}
 	return n
@@ -349,7 +348,6 @@
 	}
 }
 
-// usage reads the fields of the records on usage.
 func (r *reader) usage(kind recordKind) Record {
 	switch kind {
 	case usageDeltaKind:
--- a/kernel/jobs/engine.go
+++ b/kernel/jobs/engine.go
@@ -5,8 +5,8 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// paceWeightEvents is how many events weigh as much as all that was seen before: the
-// longest texts have three times as many.
+// paceWeightEvents is the number of events at which one run counts as much as the
+// average so far.
 const paceWeightEvents = 60
 
 func (s *State) updatePace(timing Timing) {
@@ -23,16 +23,17 @@
 	s.Paces[timing.Engine] = pace
 }
 
-// failureWeight is what one run weighs against the share of failures before it.
+// failureWeight is the weight of the latest run in the moving average of failures.
 const failureWeight = 0.15
 
-// updateFailureRate notes the end of a run: 1 is a failure of the engine, 0 a whole text.
+// updateFailureRate records the end of a run: failure is 1 if the engine failed it and
+// 0 if the item completed.
 func (s *State) updateFailureRate(engine ident.BackendName, failure float64) {
 	s.FailureRates[engine] += failureWeight * (failure - s.FailureRates[engine])
 }
 
-// avoid keeps items from an engine for a while, unless the record is read in
-// arrears: then its time is over, or nearly.
+// avoid blocks an engine for the record's duration. Records from the backlog are
+// ignored, since their duration is over or nearly so.
 func (s *State) avoid(a Avoid, now clock.Millis) {
 	s.markHeard(a.By, now)
 	if s.CaughtUp {
--- a/kernel/jobs/jobs_test.go
+++ b/kernel/jobs/jobs_test.go
@@ -12,7 +12,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// CI draws the same histories every time; elsewhere each run draws others.
+// Fixes the seed in CI; local runs draw new histories each time.
 func init() {
 	if os.Getenv("CI") != "" {
 		_ = flag.Set("rapid.seed", "20261202")
@@ -27,7 +27,7 @@
 	return a
 }
 
-// log applies records in order to a new book.
+// fold applies records in order to a new state.
 func fold(records ...Record) *State {
 	b := NewState()
 	for i, r := range records {
@@ -53,7 +53,7 @@
 	for _, r := range records {
 		got, err := Decode(Encode(r))
 		if err != nil || !reflect.DeepEqual(got, r) {
-			t.Errorf("%T came back as %+v (%v), want %+v", r, got, err, r)
+			t.Errorf("%T was decoded as %+v (%v), want %+v", r, got, err, r)
 		}
 	}
 	t.Run("a record of a newer program is passed over", func(t *testing.T) {
@@ -106,7 +106,7 @@
 	t.Run("a yield of another than the owner leaves the claim", func(t *testing.T) {
 		b := fold(job, claimOf("j", "x", 0, 0), Yield{Job: "j", By: "y", Partial: Partial{Events: 3}})
 		if i := b.Jobs["j"].Items[0]; i.Owner != "x" || i.Partial.Events != 3 {
-			t.Errorf("owner %q, kept %d", i.Owner, i.Partial.Events)
+			t.Errorf("owner %q, %d events saved", i.Owner, i.Partial.Events)
 		}
 	})
 }
@@ -114,13 +114,13 @@
 func TestFaults(t *testing.T) {
 	b := fold(accept("j", 1, "a", "b"), claimOf("j", "x", 0, 0), Yield{Job: "j", By: "x", Failed: true})
 	if got := b.Jobs["j"].Items[0].FailedEngines; len(got) != 1 || got[0] != "e" || b.FailureRates["e"] == 0 {
-		t.Errorf("failed at %v, share %v, want once at e", got, b.FailureRates["e"])
+		t.Errorf("failed engines %v, failure rate %v, want e once", got, b.FailureRates["e"])
 	}
 	before := b.FailureRates["e"]
 	b.Apply(9, claimOf("j", "x", 1, 0), 0)
 	b.Apply(10, Finish{Job: "j", By: "x", Index: 1, State: Completed}, 0)
 	if b.FailureRates["e"] >= before {
-		t.Errorf("the share stayed at %v after a whole text", b.FailureRates["e"])
+		t.Errorf("failure rate stayed at %v after a completed item", b.FailureRates["e"])
 	}
 }
 
@@ -136,7 +136,7 @@
 			b := fold(accept("j", 1, "a"), SavePartial{Job: "j", Partial: kept}, End{Job: "j"}, accept("k", c.least, "a"))
 			item := b.Jobs["k"].Items[0]
 			if !item.Resubmitted || item.Partial.Events != c.want {
-				t.Errorf("brought %v with %d events, want %d", item.Resubmitted, item.Partial.Events, c.want)
+				t.Errorf("resubmitted %v with %d events, want %d", item.Resubmitted, item.Partial.Events, c.want)
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 	t.Run("of two that follow the same hold the first counts", func(t *testing.T) {
 		b := fold(Hold{Role: "r", By: "x"}, Hold{Role: "r", By: "y", Replaces: 1}, Hold{Role: "r", By: "z", Replaces: 1})
 		if h := b.RoleHolders["r"]; h.By != "y" || h.Fence != 2 {
-			t.Errorf("held by %q with %d, want y with 2", h.By, h.Fence)
+			t.Errorf("role held by %q with fence %d, want y with 2", h.By, h.Fence)
 		}
 	})
 	t.Run("an order under an older fence does not count", func(t *testing.T) {
@@ -160,20 +160,20 @@
 func TestLives(t *testing.T) {
 	b := fold(Heartbeat{By: "n~1", Zone: "z"}, Heartbeat{By: "m~1", Zone: "z"}, Heartbeat{By: "n~2", Zone: "z"})
 	if b.Alive("n~1", 0) || !b.Alive("n~2", 0) || !b.Alive("m~1", 0) {
-		t.Error("a new life must end the earlier lives of the same instance, and only these")
+		t.Error("a restart must supersede the earlier runs of the same instance, and only these")
 	}
 	b.ShiftLastHeard(1000)
 	if !b.Alive("m~1", 900) {
-		t.Error("silence that nobody could hear must not count")
+		t.Error("a member must stay alive across a period in which the reader could not read")
 	}
 }
 
-// ledgerModel draws histories of several instances that write to one ledger,
-// late, twice and in any order, with rebuilds from the start.
+// ledgerModel generates histories of several instances that write to one ledger: late,
+// duplicate and reordered records, and rebuilds from the start.
 type ledgerModel struct {
 	records []Record
 	state   *State
-	// seenResults is what callers have read: it must never change.
+	// seenResults holds the results that callers have read: these must never change.
 	seenResults map[ident.Job][]Result
 	accepted    map[ident.Job]int
 }
@@ -222,15 +222,14 @@
 
 func (m *ledgerModel) beat(t *rapid.T) { m.write(Heartbeat{By: m.name(t), Zone: "z"}) }
 
-// repeat writes an old record once more, as a repeated append may.
+// repeat writes an old record again, as a retried append may.
 func (m *ledgerModel) repeat(t *rapid.T) {
 	if len(m.records) > 0 {
 		m.write(rapid.SampledFrom(m.records).Draw(t, "record"))
 	}
 }
 
-// rebuild reads everything from the start, as an instance does that has lost
-// its memory, at other times of its own.
+// rebuild replays all records on another clock, as an instance does after a restart.
 func (m *ledgerModel) rebuild(*rapid.T) {
 	fresh := NewState()
 	for i, r := range m.records {
@@ -255,7 +254,7 @@
 	}
 }
 
-// checkIndexes compares what the book counts as it goes with the items themselves.
+// checkIndexes compares the incrementally updated counts and indexes with the items.
 func (m *ledgerModel) checkIndexes(t *rapid.T, j *Job) {
 	waiting := 0
 	for n, i := range j.Items {
@@ -272,7 +271,7 @@
 		}
 	}
 	if waiting != j.Waiting {
-		t.Fatalf("%d items of %s wait, counted %d", waiting, j.Job, j.Waiting)
+		t.Fatalf("%d items of %s are waiting, counter says %d", waiting, j.Job, j.Waiting)
 	}
 }
 
@@ -291,7 +290,7 @@
 func (m *ledgerModel) checkPositions(t *rapid.T, j *Job) {
 	before := m.seenResults[j.Job]
 	if len(j.Results) < len(before) || (len(before) > 0 && !reflect.DeepEqual(j.Results[:len(before)], before)) {
-		t.Fatalf("results of %s have moved", j.Job)
+		t.Fatalf("results of %s have changed position", j.Job)
 	}
 	seen := map[int]bool{}
 	for _, r := range j.Results {
@@ -313,8 +312,8 @@
 	})
 }
 
-// An instance that starts reads what others wrote minutes ago: it must not keep
-// items from engines for it, but wait out leases as if it were new.
+// Guards against an instance that, on start, avoids engines because of old records, and
+// against one that shortens the lease of an old load order.
 func TestReadInArrears(t *testing.T) {
 	for _, current := range []bool{true, false} {
 		b := NewState()
@@ -339,14 +338,13 @@
 	}
 }
 
-// Records of programs that did not know of dealers are in the ledger when an instance
-// is upgraded.
+// Guards the decoding of records that were written before the Dealer field existed.
 func TestClaimWithoutDealer(t *testing.T) {
 	want := Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 1, Replaces: 4}}}
 	data := Encode(want)
 	got, err := Decode(data[:len(data)-1])
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, error %v, want %+v", got, err, want)
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
 	if claim, _ := got.(Claim); claim.Writer() != "i" {
 		t.Errorf("written by %q, want the instance that runs the items", claim.Writer())
--- a/kernel/jobs/member.go
+++ b/kernel/jobs/member.go
@@ -14,7 +14,7 @@
 	m.Zone, m.Address, m.Leaving = r.Zone, r.Address, r.Leaving
 }
 
-// IsSignOfLife tells whether a record is a sign of life of the instance that wrote it.
+// IsSignOfLife reports whether a record proves that the instance that wrote it is alive.
 func IsSignOfLife(r Record) bool {
 	switch r.(type) {
 	case Heartbeat, Claim, Yield, SavePartial, Finish, Avoid, Hold, Defer:
@@ -24,7 +24,7 @@
 	}
 }
 
-// supersede ends the earlier lives of an instance that has started again.
+// supersede marks the earlier runs of an instance as replaced by a restart.
 func (s *State) supersede(by ident.InstanceName) {
 	for _, m := range s.Members {
 		if m.Name.ListName() == by.ListName() {
@@ -42,8 +42,8 @@
 	m.LastHeard = now
 }
 
-// Live returns the members that were heard since the given time of this reader,
-// take work and have not been started anew.
+// Live returns the members heard since the given time on this reader's clock that
+// accept work and are not superseded. The order is random.
 func (s *State) Live(since clock.Millis) []Member {
 	var live []Member
 	for _, m := range s.Members {
@@ -54,7 +54,7 @@
 	return live
 }
 
-// LiveCount returns how many members Live would return.
+// LiveCount returns the number of members that Live would return.
 func (s *State) LiveCount(since clock.Millis) int {
 	n := 0
 	for _, m := range s.Members {
@@ -69,15 +69,16 @@
 	return !m.Leaving && !m.Superseded && m.LastHeard >= since
 }
 
-// Alive tells whether a member may still be doing what it claimed.
+// Alive reports whether a member may still be running what it claimed: it was heard
+// since the given time and is not superseded.
 func (s *State) Alive(name ident.InstanceName, since clock.Millis) bool {
 	m := s.Members[name]
 	return m != nil && !m.Superseded && m.LastHeard >= since
 }
 
-// ShiftLastHeard moves the times at which members were heard and engines are to be used
-// again by a span in which this reader could not read: silence that nobody
-// could hear does not count.
+// ShiftLastHeard adds span to the time at which each member was last heard. It
+// compensates for a period in which this reader could not read the ledger: members
+// must not look silent because of it.
 func (s *State) ShiftLastHeard(span clock.Millis) {
 	for _, m := range s.Members {
 		m.LastHeard += span
@@ -92,7 +93,8 @@
 	s.RoleHolders[h.Role] = RoleHolder{By: h.By, Fence: ident.Fence(offset)}
 }
 
-// staleOrderAge is longer than any load takes.
+// staleOrderAge backdates orders from the backlog. It exceeds the time that any load
+// takes.
 const staleOrderAge = 60 * clock.Second
 
 func (s *State) loadOrder(o LoadOrder, now clock.Millis) {
--- a/kernel/jobs/record.go
+++ b/kernel/jobs/record.go
@@ -1,7 +1,7 @@
-// Package jobs is the state of batch jobs, folded from the records of a ledger:
-// acceptances, claims, results and ends, and which instances are alive and who
-// orders weights. Everything that instances must agree on is decided by the
-// order of these records. The package does no I/O.
+// Package jobs folds the records of a ledger into the state of batch jobs: accepted
+// jobs, claims, results, live instances and which instance may order weights. The order
+// of the records decides everything on which instances must agree. The package does no
+// I/O.
 package jobs
 
 import (
@@ -16,31 +16,31 @@
 
 // Kinds of errors.
 const (
-	// Corrupt means that a record could not be read.
+	// Corrupt marks a record that could not be decoded.
 	Corrupt Kind = "Corrupt"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Span is where a blob lies: consecutive records of one stream.
+// Span locates a blob: Count consecutive records of one stream, from First on.
 type Span struct {
 	Stream ident.Stream
 	First  ident.Offset
 	Count  int
 }
 
-// ItemSpec is what every instance knows of an item without reading its body.
+// ItemSpec is what each instance knows of an item without reading its body.
 type ItemSpec struct {
 	ID    ident.Item
 	Group ident.Group
-	// Expect is how many tokens the caller expects the answer to have.
+	// Expect is the answer length that the caller expects.
 	Expect ident.Tokens
-	// Body is where the item's body lies within the job's span.
+	// Body locates the item's body.
 	Body Span
 }
 
-// Accept makes a job part of the state. The first acceptance of a job counts.
+// Accept creates a job. Only the first Accept of a job counts.
 type Accept struct {
 	Job  ident.Job
 	Host string
@@ -49,51 +49,51 @@
 	Service ident.Service
 	Model   ident.Model
 	Step    ident.Step
-	// MinVersion is the oldest version whose tokens the job takes.
+	// MinVersion is the oldest weight version whose tokens the job accepts.
 	MinVersion ident.Version
-	// WantedGroups is how many whole groups its trainer waits for; 0 is all.
+	// WantedGroups is the number of complete groups that the trainer needs; 0 means all.
 	WantedGroups int
-	// SingleVersion tells that one version must have made the whole of a text.
+	// SingleVersion requires that a single weight version generates the whole text.
 	SingleVersion bool
 	Items         []ItemSpec
-	// Organisation is whose job it is; empty if nobody's.
+	// Organisation owns the job; empty if none does.
 	Organisation ident.Organisation
 }
 
-// Target is one item that a claim is for. Replaces is the claim that it takes
-// the place of, or 0; the claim only counts if that one still stands.
+// Target is one item of a claim. Replaces is the offset of the claim that it replaces,
+// or 0 for none; the new claim counts only if that is still the item's current claim.
 type Target struct {
 	Index    int
 	Replaces ident.Offset
 }
 
-// Claim gives items of a job to an instance, By, to be run at an engine.
+// Claim assigns items of a job to the instance By, to be run on Engine.
 type Claim struct {
 	Job     ident.Job
 	By      ident.InstanceName
 	Engine  ident.BackendName
 	Targets []Target
-	// Dealer is the instance that wrote the claim; empty if By did so itself.
+	// Dealer is the instance that wrote the claim; empty if By wrote it.
 	Dealer ident.InstanceName
 }
 
 // Writer returns the instance that wrote the claim.
 func (c Claim) Writer() ident.InstanceName { return cmp.Or(c.Dealer, c.By) }
 
-// Yield gives claimed items back. Partial is the text that was made so far, if
-// any; whoever claims the item next may go on from there.
+// Yield releases a claimed item without a result. Partial is the text generated so far,
+// if any; the next owner may continue from it.
 type Yield struct {
 	Job     ident.Job
 	By      ident.InstanceName
 	Index   int
 	Partial Partial
-	// Failed tells that the engine itself failed the item.
+	// Failed reports whether the engine failed the item.
 	Failed bool
 	Speed  Timing
 }
 
-// SavePartial keeps the beginning of a text while the rest is being made, so that it
-// is not lost with the instance or the engine.
+// SavePartial stores the text generated so far, so that it survives a failure of the
+// instance or the engine.
 type SavePartial struct {
 	Job     ident.Job
 	By      ident.InstanceName
@@ -101,23 +101,24 @@
 	Partial Partial
 }
 
-// Timing is how long an engine took for a number of events; everybody learns the
-// speed of the engine from it.
+// Timing is the time, in milliseconds, that an engine took for a number of events. It
+// feeds the engine's Pace.
 type Timing struct {
 	Engine ident.BackendName
 	Events int
 	Millis int
 }
 
-// Avoid tells that an engine did not do its work; nobody gives it items for a
-// while.
+// Avoid reports an engine that failed to do its work: no instance assigns it items for
+// the given milliseconds.
 type Avoid struct {
 	By     ident.InstanceName
 	Engine ident.BackendName
 	Millis int
 }
 
-// Defer keeps an item from all engines for a while, since engines ended under it.
+// Defer blocks an item on all engines for the given milliseconds, because engines went
+// down while running it.
 type Defer struct {
 	Job    ident.Job
 	By     ident.InstanceName
@@ -125,18 +126,18 @@
 	Millis int
 }
 
-// Partial is the beginning of a text, or all of it.
+// Partial is a prefix of a text, or all of it.
 type Partial struct {
-	// Texts are its parts in order; a line feed stands between two of them.
+	// Texts locates the parts in order; they are joined by line feeds.
 	Texts    []Span
 	Events   int
 	Versions []ident.Version
-	// Complete tells that nothing but the reward is missing.
+	// Complete reports whether the text is finished and lacks only its reward.
 	Complete bool
 }
 
-// Fits tells whether the text may be used in a job that takes tokens of least
-// and newer versions, of a single one if single is set.
+// Fits reports whether a job that accepts tokens of version least and newer, of only one
+// version if single is set, may reuse the text. An empty text does not fit.
 func (p Partial) Fits(least ident.Version, single bool) bool {
 	if p.Events == 0 || (single && len(p.Versions) > 1) {
 		return false
@@ -152,13 +153,13 @@
 // Outcome is how an item ended.
 type Outcome string
 
-// States of items.
+// Outcomes of items.
 const (
 	Completed  Outcome = "Completed"
 	Terminated Outcome = "Terminated"
 )
 
-// Finish is the result of an item. The first one of an item counts.
+// Finish is the result of an item. Only the first one of an item counts.
 type Finish struct {
 	Job      ident.Job
 	By       ident.InstanceName
@@ -172,31 +173,31 @@
 	Speed  Timing
 }
 
-// End closes a job: nothing of it needs to run any more.
+// End closes a job: none of its items needs to run any more.
 type End struct {
 	Job ident.Job
 }
 
-// Heartbeat tells that an instance is alive. Leaving tells that it takes no more
-// work.
+// Heartbeat reports that an instance is alive. If Leaving is set, the instance accepts no
+// more work.
 type Heartbeat struct {
 	By      ident.InstanceName
 	Zone    ident.Zone
 	Leaving bool
-	// Address takes other instances' calls.
+	// Address accepts calls from other instances.
 	Address ident.Address
 }
 
-// Hold makes an instance the holder of a role, if Replaces is the hold that
-// stands. Its offset is the fencing number.
+// Hold makes an instance the holder of a role, provided that Replaces is the offset of
+// the role's current Hold. Its own offset becomes the fencing token.
 type Hold struct {
 	Role     string
 	By       ident.InstanceName
 	Replaces ident.Offset
 }
 
-// LoadOrder tells that the holder of a role is about to order an engine to load a
-// version. It counts only while Fence is the hold that stands.
+// LoadOrder announces that the holder of a role is about to order an engine to load a
+// version. It counts only while Fence is the fencing token of the role's current holder.
 type LoadOrder struct {
 	Role    string
 	Fence   ident.Fence
@@ -205,28 +206,28 @@
 	Version ident.Version
 }
 
-// Loaded tells that an engine was seen to run a version.
+// Loaded reports that an engine was observed running a version.
 type Loaded struct {
 	Engine  ident.BackendName
 	Model   ident.Model
 	Version ident.Version
 }
 
-// Count is how many requests of an organisation began to run.
+// Count is the number of requests of an organisation that began to run.
 type Count struct {
 	Organisation ident.Organisation
 	Requests     int64
 }
 
-// UsageDelta adds requests that an instance saw begin in a window.
+// UsageDelta adds requests that began on an instance within a window.
 type UsageDelta struct {
 	By     ident.InstanceName
 	Window ident.Window
 	Counts []Count
 }
 
-// UsageTotal is the sum of a window that is reported: it counts only while Fence is the
-// hold on Role that stands, and the first one of a window counts.
+// UsageTotal fixes the counts of a window for its report. It counts only while Fence is
+// the fencing token of the holder of Role, and only the first one of a window counts.
 type UsageTotal struct {
 	Role   string
 	Fence  ident.Fence
@@ -234,19 +235,19 @@
 	Counts []Count
 }
 
-// UsageReported tells that the platform has taken the report of a window.
+// UsageReported records that the platform accepted the report of a window.
 type UsageReported struct {
 	Window ident.Window
 }
 
-// Record is one of the types above.
+// Record is one of the record types above.
 type Record interface {
 	kind() recordKind
 }
 
 type recordKind uint8
 
-// The numbers are on the wire: they are never given to another record.
+// The numbers are stored in the ledger: never reuse or reassign one.
 const (
 	acceptKind recordKind = 1 + iota
 	claimKind
--- a/kernel/jobs/book.go
+++ b/kernel/jobs/state.go
@@ -5,60 +5,63 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Item is an item's state.
+// Item is the state of one item of a job.
 type Item struct {
 	ItemSpec
-	// Owner, Engine and Claim are the claim that stands; Claim is 0 if none does.
+	// Owner, Engine and Claim describe the current claim; Claim is 0 if there is none.
 	Owner  ident.InstanceName
 	Engine ident.BackendName
 	Claim  ident.Offset
-	// Done tells that the item has a result.
+	// Done reports whether the item has a result.
 	Done bool
-	// Partial is the longest beginning of the text that was kept.
+	// Partial is the longest saved prefix of the text, or the whole text.
 	Partial Partial
-	// Resubmitted tells that an earlier job had the item: the trainer waits for it.
+	// Resubmitted reports whether an earlier job contained the item. The trainer is
+	// already waiting for such an item.
 	Resubmitted bool
-	// FailedEngines are the engines that themselves failed the item, one for each time.
+	// FailedEngines lists the engines that failed the item, one entry per failure.
 	FailedEngines []ident.BackendName
-	// Yields counts how often the item was given back.
+	// Yields counts how often the item was released without a result.
 	Yields int
-	// DeferredUntil is until when, in this reader's time, the item goes to no engine.
+	// DeferredUntil is the time on this reader's clock before which no engine gets the
+	// item.
 	DeferredUntil clock.Millis
 }
 
-// Result is a result at its position.
+// Result is the result of the item at Index.
 type Result struct {
 	Index int
 	Finish
 }
 
-// ItemKey names an item of a job.
+// ItemKey identifies an item of a job.
 type ItemKey struct {
 	Job   ident.Job
 	Index int
 }
 
-// Job is a job's state. Seen is when this reader read the acceptance.
+// Job is the state of a job. Its Accept.Items is nil: the item specs are in Items.
 type Job struct {
 	Accept
 	Items   []Item
 	Results []Result
-	// Waiting is how many items have neither a result nor a claim that stands.
+	// Waiting counts the items that have neither a result nor a current claim.
 	Waiting int
-	// GroupLengths is the expected length of each group, that of its longest item, and
-	// Brought are the groups of which an earlier job had items.
-	GroupLengths      map[ident.Group]ident.Tokens
+	// GroupLengths is the expected length of each group: that of its longest item.
+	GroupLengths map[ident.Group]ident.Tokens
+	// ResubmittedGroups are the groups with at least one resubmitted item.
 	ResubmittedGroups map[ident.Group]bool
 	Ended             bool
-	SeenAt            clock.Millis
-	// FromBacklog tells that the acceptance was read late, so that Seen says nothing of
-	// its time.
+	// SeenAt is when this reader read the Accept record.
+	SeenAt clock.Millis
+	// FromBacklog reports whether the Accept record was read late, in which case SeenAt
+	// does not approximate the time of acceptance.
 	FromBacklog bool
-	// EndSeenAt is when this reader read the end.
+	// EndSeenAt is when this reader read the End record.
 	EndSeenAt clock.Millis
 }
 
-// Open tells whether items of the job may still be worth running.
+// Open reports whether the job has not ended and still lacks results.
 func (j *Job) Open() bool {
 	return !j.Ended && len(j.Results) < len(j.Items)
 }
@@ -69,84 +72,85 @@
 	Zone    ident.Zone
 	Address ident.Address
 	Leaving bool
-	// Superseded tells that a later life of the same instance has begun.
+	// Superseded reports whether the same instance has restarted under a new name.
 	Superseded bool
-	LastHeard  clock.Millis
+	// LastHeard is when this reader last read a record that is a sign of life.
+	LastHeard clock.Millis
 }
 
-// RoleHolder is the hold on a role that stands.
+// RoleHolder is the current holder of a role.
 type RoleHolder struct {
 	By    ident.InstanceName
 	Fence ident.Fence
 }
 
-// Weights is what the ledger says of a model's weights on an engine.
+// Weights is what the ledger records about the weights of a model on an engine.
 type Weights struct {
-	// Version is the newest that was seen loaded.
+	// Version is the newest version that was observed as loaded.
 	Version ident.Version
-	// Ordered is the newest ordered, at OrderSeen; an order that is read in arrears
-	// counts as given long ago.
+	// Ordered is the version of the last load order, read at OrderSeenAt. Orders from the
+	// backlog are backdated by staleOrderAge.
 	Ordered     ident.Version
 	OrderSeenAt clock.Millis
 }
 
-// LastOrder is the last order to an engine that the ledger knows of, of whatever
-// model: By gave it, under Fence, and this reader read of it at Seen.
+// LastOrder is the last load order to an engine, for any model: By issued it under
+// Fence, and this reader read it at SeenAt.
 type LastOrder struct {
 	By     ident.InstanceName
 	Fence  ident.Fence
 	SeenAt clock.Millis
 }
 
-// LoadedVersion returns the version of a model that an engine has, as far as the ledger or
-// the engine itself, whose word may be older, have told.
+// LoadedVersion returns the newest version known to be loaded: the ledger's or the one
+// that the engine itself reported, which may be older.
 func (s *State) LoadedVersion(key EngineModel, reported ident.Version) ident.Version {
 	return max(s.Weights[key].Version, reported)
 }
 
-// EngineModel names a model's weights on an engine.
+// EngineModel identifies the weights of a model on an engine.
 type EngineModel struct {
 	Engine ident.BackendName
 	Model  ident.Model
 }
 
-// Load is what is claimed to run on an engine.
+// Load is the sum of the items that are currently claimed for an engine.
 type Load struct {
 	Items int
 	// Expect is the sum of the items' expected tokens.
 	Expect ident.Tokens
 }
 
-// Pace is the speed of an engine as results tell it.
+// Pace is the speed of an engine, estimated from the Timing of its runs.
 type Pace struct {
-	// MillisPerEvent is the smoothed time of one event in milliseconds; 0 is unknown.
+	// MillisPerEvent is the moving average of milliseconds per event; 0 means unknown.
 	MillisPerEvent float64
 }
 
-// State is the folded state. It has no lock of its own. Records must be applied
-// in the order of their offsets.
+// State is the state folded from the ledger's records. It has no lock of its own.
+// Records must be applied in the order of their offsets.
 type State struct {
 	Jobs        map[ident.Job]*Job
 	JobOrder    []ident.Job
 	Members     map[ident.InstanceName]*Member
 	RoleHolders map[string]RoleHolder
 	Weights     map[EngineModel]Weights
-	// LastOrders holds the last order to each engine, by the name under which it is
-	// listed: a lease ends with its term, not with a start of the engine.
+	// LastOrders holds the last load order to each engine, by the engine's ListName: a
+	// lease is not cut short by a restart of the engine.
 	LastOrders map[string]LastOrder
-	// Claims are the items whose claim stands, by their owner.
+	// Claims indexes the currently claimed items by their owner.
 	Claims map[ident.InstanceName]map[ItemKey]struct{}
 	Loads  map[ident.BackendName]Load
 	Paces  map[ident.BackendName]Pace
-	// FailureRates is the share of the lately ended runs that each engine itself failed.
+	// FailureRates is the moving average of the share of runs that each engine failed.
 	FailureRates map[ident.BackendName]float64
-	// AvoidedUntil holds until when, in this reader's time, an engine gets no items.
+	// AvoidedUntil is the time on this reader's clock before which an engine gets no items.
 	AvoidedUntil map[ident.BackendName]clock.Millis
-	// CaughtUp tells that records are read as they come, not in arrears.
+	// CaughtUp is set while records are read as they are written, not from the backlog.
 	CaughtUp bool
-	// LatestJob finds the newest job that has an item, for items brought back.
+	// LatestJob maps an item to the newest job that contains it.
 	LatestJob map[ident.Item]ident.Job
-	// Usage is what is known of each window of use.
+	// Usage holds the request counts of each accounting window.
 	Usage map[ident.Window]*WindowUsage
 	Next  ident.Offset
 }
@@ -162,8 +166,9 @@
 	}
 }
 
-// Apply folds the record at offset. Now is the reader's own steady time; it
-// never decides what a record means.
+// Apply folds the record at offset into the state. The parameter now is the time on
+// this reader's monotonic clock; readers with different clocks must still agree on
+// claims, results and role holders.
 func (s *State) Apply(offset ident.Offset, record Record, now clock.Millis) {
 	s.Next = offset + 1
 	switch r := record.(type) {
@@ -217,8 +222,8 @@
 	s.JobOrder = append(s.JobOrder, a.Job)
 }
 
-// newItem returns an item as its job begins. If an earlier job had it, what was
-// kept of its text is taken over where the versions allow.
+// newItem returns the initial state of an item. If an earlier job contained the item,
+// its saved text is reused where the job's version limits allow.
 func (s *State) newItem(a Accept, plan ItemSpec) Item {
 	item := Item{ItemSpec: plan}
 	earlier := s.Jobs[s.LatestJob[plan.ID]]
@@ -234,7 +239,7 @@
 	return item
 }
 
-// unfinishedItem returns the unfinishedItem if it can still get a result.
+// unfinishedItem returns nil if the item does not exist or already has a result.
 func (s *State) unfinishedItem(id ident.Job, index int) (*Job, *Item) {
 	job := s.Jobs[id]
 	if job == nil || index < 0 || index >= len(job.Items) || job.Items[index].Done {
@@ -255,7 +260,7 @@
 	}
 }
 
-// assign puts a claim on an item that has none.
+// assign records a claim on an item that has none.
 func (s *State) assign(job *Job, index int, c Claim, offset ident.Offset) {
 	item := &job.Items[index]
 	item.Owner, item.Engine, item.Claim = c.By, c.Engine, offset
@@ -267,7 +272,7 @@
 	s.Claims[c.By][ItemKey{Job: job.Job, Index: index}] = struct{}{}
 }
 
-// release takes the claim that stands off an item.
+// release removes the item's current claim, if any.
 func (s *State) release(job *Job, index int) {
 	item := &job.Items[index]
 	if item.Claim == 0 {
@@ -282,7 +287,7 @@
 	item.Owner, item.Engine, item.Claim = "", "", 0
 }
 
-// adjustLoad adds an item to the load of its engine, or takes it off.
+// adjustLoad adds the item to the load of its engine (sign 1) or removes it (-1).
 func (s *State) adjustLoad(item *Item, sign int) {
 	load := s.Loads[item.Engine]
 	load.Items += sign
@@ -312,8 +317,8 @@
 	}
 }
 
-// defers keeps an item from all engines for a while, unless the record is read in
-// arrears: then its time is over, or nearly.
+// defers blocks an item on all engines for the record's duration. Records from the
+// backlog are ignored, since their duration is over or nearly so.
 func (s *State) defers(d Defer, now clock.Millis) {
 	s.markHeard(d.By, now)
 	if _, item := s.unfinishedItem(d.Job, d.Index); item != nil && s.CaughtUp {
@@ -328,7 +333,7 @@
 	}
 }
 
-// updatePartial keeps a beginning of the text if it is longer than the one that is kept.
+// updatePartial replaces the saved text if p is longer or completes it.
 func (i *Item) updatePartial(p Partial) {
 	if p.Events > i.Partial.Events || (p.Complete && !i.Partial.Complete) {
 		i.Partial = p
@@ -367,8 +372,8 @@
 	}
 }
 
-// Forget drops jobs that were accepted before the given time of this reader
-// and are over or too old to matter to anybody.
+// Forget drops the jobs whose acceptance was read before the given time on this
+// reader's clock, whether or not they have ended.
 func (s *State) Forget(before clock.Millis) {
 	kept := s.JobOrder[:0]
 	for _, id := range s.JobOrder {
--- a/kernel/jobs/use.go
+++ b/kernel/jobs/usage.go
@@ -7,24 +7,24 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// WindowUsage is what the ledger says of a window of use.
+// WindowUsage is the request counts of one accounting window.
 type WindowUsage struct {
-	// Counts is what instances have told so far, Late what they told after the sum
-	// was settled: it is in no report.
+	// Counts sums the deltas until the total is settled. Late counts the requests of later
+	// deltas, which are in no report.
 	Counts map[ident.Organisation]int64
 	Late   int64
-	// Sum is what is reported, once Settled is set; it never changes then.
+	// Sum is the reported total. It is final once Settled is set.
 	Sum     []Count
 	Settled bool
-	// Reported tells that the platform has taken the report.
+	// Reported is set once the platform has accepted the report.
 	Reported bool
 }
 
-// maxWindows is how many windows are remembered: five minutes of the shortest that
-// the users' deployments have, 5 s.
+// maxWindows is the number of windows that are kept: five minutes of windows of 5 s.
 const maxWindows = 60
 
-// window returns a window's state, forgetting the oldest ones.
+// window returns the state of a window, creating it if needed, and drops the oldest
+// windows beyond maxWindows.
 func (s *State) window(w ident.Window) *WindowUsage {
 	if s.Usage[w] == nil {
 		s.Usage[w] = &WindowUsage{Counts: map[ident.Organisation]int64{}}
@@ -42,7 +42,6 @@
 	return s.Usage[w]
 }
 
-// applyUsage folds a record on use.
 func (s *State) applyUsage(record Record) {
 	switch r := record.(type) {
 	case UsageDelta:
@@ -76,8 +75,7 @@
 
 func (s *State) usageReported(r UsageReported) { s.window(r.Window).Reported = true }
 
-// Sorted returns the counts told so far, by organisation; none for a window of which
-// nobody told.
+// Sorted returns the counts so far, ordered by organisation; nil for a nil window.
 func (w *WindowUsage) Sorted() []Count {
 	if w == nil {
 		return nil
