--- a/croftmoor/feed/book.go
+++ b/croftmoor/feed/book.go
@@ -34,7 +34,7 @@
 
 // step is one open step; guarded by the book's lock.
 type step struct {
-	ledger  *steps.Ledger
+	ledger  *steps.Tracker
 	changed chan struct{}
 	// base ends when the step is closed.
 	base   context.Context
@@ -54,7 +54,7 @@
 	b.newest = max(b.newest, open.Version)
 	number := open.Spec.Step
 	if s, ok := b.steps[number]; ok {
-		s.ledger.Hand(open.Have, b.newest, 0)
+		s.ledger.HandOver(open.Have, b.newest, 0)
 		s.put(open.Ready)
 		return
 	}
@@ -67,10 +67,10 @@
 	f := b.feed
 	ctx, cancel := context.WithCancel(f.base)
 	s := &step{
-		ledger:  steps.Open(open.Spec, open.Have, f.lengths.Expect, b.policy()),
+		ledger:  steps.New(open.Spec, open.Have, f.lengths.Expect, b.policy()),
 		changed: make(chan struct{}), base: ctx, cancel: cancel,
 	}
-	s.ledger.Publish(b.newest)
+	s.ledger.ObserveVersion(b.newest)
 	s.put(open.Ready)
 	b.steps[number] = s
 	f.Trail.Add(trail.Decision{
@@ -112,7 +112,7 @@
 
 func (s *step) put(samples []*steps.Sample) {
 	for _, sample := range samples {
-		s.ledger.Put(sample)
+		s.ledger.ImportSample(sample)
 	}
 	if len(samples) > 0 {
 		s.notify()
@@ -136,7 +136,7 @@
 	}
 	b.newest = version
 	for _, s := range b.steps {
-		s.ledger.Publish(version)
+		s.ledger.ObserveVersion(version)
 	}
 }
 
@@ -150,10 +150,10 @@
 		return peers.Pulled{}, nil, unknownStep()
 	}
 	if declared {
-		s.ledger.SetBound(trainer.StalenessBound)
+		s.ledger.SetStalenessBound(trainer.StalenessBound)
 	}
 	b.publishLocked(pull.Version)
-	samples := s.ledger.Hand(pull.Have, b.newest, pull.Most)
+	samples := s.ledger.HandOver(pull.Have, b.newest, pull.Most)
 	missing, running, ready, held := s.ledger.Counts()
 	for _, sample := range samples {
 		b.feed.Trail.Add(trail.Decision{
@@ -298,7 +298,7 @@
 		if s.ledger.Complete() {
 			continue
 		}
-		have, samples := s.ledger.Leave()
+		have, samples := s.ledger.Export()
 		opens = append(opens, peers.Open{Spec: s.ledger.Spec, Have: have, Version: b.newest, HandedOn: true, Ready: samples})
 	}
 	return opens
--- a/croftmoor/feed/feed.go
+++ b/croftmoor/feed/feed.go
@@ -225,7 +225,7 @@
 	if open.HandedOn && f.owner(trainer.Name) != f.Self {
 		return refuse.After("feed.Open", refuse.NotRun, "this instance does not own the trainer's steps", retryTerm)
 	}
-	open.Spec.Bound = trainer.StalenessBound
+	open.Spec.StalenessBound = trainer.StalenessBound
 	if open.Spec.GroupSize == 0 {
 		open.Spec.GroupSize = trainer.GroupSize
 	}
--- a/croftmoor/peers/wire.go
+++ b/croftmoor/peers/wire.go
@@ -235,7 +235,7 @@
 func openToWire(o Open) openWire {
 	w := openWire{
 		Trainer: string(o.Spec.Trainer), Step: int64(o.Spec.Step), Prompts: o.Spec.Prompts, GroupSize: o.Spec.GroupSize,
-		MaxTokens: int32(o.Spec.MaxTokens), Bound: int64(o.Spec.Bound), Have: o.Have.Text(), Version: int64(o.Version),
+		MaxTokens: int32(o.Spec.MaxTokens), Bound: int64(o.Spec.StalenessBound), Have: o.Have.Text(), Version: int64(o.Version),
 		HandedOn: o.HandedOn,
 	}
 	for _, s := range o.Ready {
@@ -249,7 +249,7 @@
 	o := Open{
 		Spec: steps.Spec{
 			Trainer: ident.Trainer(w.Trainer), Step: ident.Step(w.Step), Prompts: w.Prompts, GroupSize: w.GroupSize,
-			MaxTokens: ident.Tokens(w.MaxTokens), Bound: ident.Version(w.Bound),
+			MaxTokens: ident.Tokens(w.MaxTokens), StalenessBound: ident.Version(w.Bound),
 		},
 		Have: have, Version: ident.Version(w.Version), HandedOn: w.HandedOn,
 	}
--- a/kernel/steps/bench_test.go
+++ b/kernel/steps/bench_test.go
@@ -9,7 +9,7 @@
 
 // bigSpec is a step of 4,096 samples.
 func bigSpec() Spec {
-	s := Spec{Trainer: "t", Step: 1, GroupSize: 4, MaxTokens: 1024, Bound: 2}
+	s := Spec{Trainer: "t", Step: 1, GroupSize: 4, MaxTokens: 1024, StalenessBound: 2}
 	for i := range 1024 {
 		s.Prompts = append(s.Prompts, fmt.Sprintf("family-%d|prompt %d", i%32, i))
 	}
@@ -20,7 +20,7 @@
 	spec := bigSpec()
 	b.ReportAllocs()
 	for b.Loop() {
-		l := Open(spec, Set{}, func(p string) ident.Tokens { return ident.Tokens(len(p)) }, byLength(b))
+		l := New(spec, Set{}, func(p string) ident.Tokens { return ident.Tokens(len(p)) }, byLength(b))
 		var have Set
 		for {
 			a, ok := l.Next()
@@ -30,10 +30,10 @@
 			l.Fill(a, sampleOf(a, 1))
 		}
 		for !l.Complete() {
-			for _, s := range l.Hand(have, 1, 256) {
+			for _, s := range l.HandOver(have, 1, 256) {
 				have.Add(s.Slot)
 			}
-			l.Hand(have, 1, 0)
+			l.HandOver(have, 1, 0)
 		}
 	}
 }
--- a/kernel/steps/steps.go
+++ b/kernel/steps/steps.go
@@ -50,8 +50,8 @@
 	Prompts   []string
 	GroupSize int
 	MaxTokens ident.Tokens
-	// Bound is how many versions a sample may be behind at hand-over.
-	Bound ident.Version
+	// StalenessBound is how many versions a sample may be behind at hand-over.
+	StalenessBound ident.Version
 }
 
 // Slots returns how many samples the step needs.
@@ -98,8 +98,8 @@
 	Late   ident.Tokens
 }
 
-// Ledger is the slots of one step. It has no lock of its own.
-type Ledger struct {
+// Tracker is the slots of one step. It has no lock of its own.
+type Tracker struct {
 	Spec  Spec
 	Waste Waste
 	// StaleDropped counts samples and attempts dropped for staleness.
@@ -113,10 +113,10 @@
 	held    int
 }
 
-// Open returns a ledger in which the slots of have are held by the trainer.
+// New returns a ledger in which the slots of have are held by the trainer.
 // Expect predicts lengths, and the policy orders the slots by them.
-func Open(spec Spec, have Set, expect func(prompt string) ident.Tokens, policy place.Policy) *Ledger {
-	l := &Ledger{Spec: spec, slots: make([]slotState, spec.Slots())}
+func New(spec Spec, have Set, expect func(prompt string) ident.Tokens, policy place.Policy) *Tracker {
+	l := &Tracker{Spec: spec, slots: make([]slotState, spec.Slots())}
 	order := make([]place.Slot, len(l.slots))
 	for i := range l.slots {
 		order[i] = place.Slot{Index: ident.Slot(i), Expect: expect(spec.Prompt(ident.Slot(i)))}
@@ -131,55 +131,55 @@
 }
 
 // Counts returns how many slots are missing, running, ready and held.
-func (l *Ledger) Counts() (missing, running, ready, held int) {
-	return l.missing, l.running, len(l.slots) - l.missing - l.running - l.held, l.held
+func (t *Tracker) Counts() (missing, running, ready, held int) {
+	return t.missing, t.running, len(t.slots) - t.missing - t.running - t.held, t.held
 }
 
 // Missing returns how many slots have no attempt running.
-func (l *Ledger) Missing() int {
-	return l.missing
+func (t *Tracker) Missing() int {
+	return t.missing
 }
 
 // Running returns how many slots have an attempt running.
-func (l *Ledger) Running() int {
-	return l.running
+func (t *Tracker) Running() int {
+	return t.running
 }
 
 // Complete tells whether the trainer holds every slot.
-func (l *Ledger) Complete() bool {
-	return l.held == len(l.slots)
+func (t *Tracker) Complete() bool {
+	return t.held == len(t.slots)
 }
 
 // Next starts an attempt at the most urgent missing slot.
-func (l *Ledger) Next() (Attempt, bool) {
-	if l.missing == 0 {
+func (t *Tracker) Next() (Attempt, bool) {
+	if t.missing == 0 {
 		return Attempt{}, false
 	}
-	for _, slot := range l.order {
-		s := &l.slots[slot]
+	for _, slot := range t.order {
+		s := &t.slots[slot]
 		if s.phase != missing {
 			continue
 		}
-		l.move(s, running)
+		t.move(s, running)
 		s.attempt++
 		s.tokens = 0
 		s.oldest = 0
-		return Attempt{Slot: slot, Number: s.attempt, Prompt: l.Spec.Prompt(slot)}, true
+		return Attempt{Slot: slot, Number: s.attempt, Prompt: t.Spec.Prompt(slot)}, true
 	}
 	return Attempt{}, false
 }
 
 // Progress notes how far an attempt is and the oldest version in it. It
 // reports false when the attempt is no longer wanted and must be cancelled.
-func (l *Ledger) Progress(a Attempt, tokens ident.Tokens, oldest ident.Version) bool {
-	s, ok := l.current(a)
+func (t *Tracker) Progress(a Attempt, tokens ident.Tokens, oldest ident.Version) bool {
+	s, ok := t.current(a)
 	if !ok {
 		return false
 	}
 	s.tokens = tokens
 	s.oldest = oldest
-	if l.tooOld(oldest) {
-		l.dropStale(s)
+	if t.tooOld(oldest) {
+		t.dropStale(s)
 		return false
 	}
 	return true
@@ -187,41 +187,41 @@
 
 // Fill puts the attempt's sample into its slot. It reports false for an
 // attempt that is no longer wanted; its tokens are counted as waste.
-func (l *Ledger) Fill(a Attempt, sample *Sample) bool {
-	s, ok := l.current(a)
+func (t *Tracker) Fill(a Attempt, sample *Sample) bool {
+	s, ok := t.current(a)
 	if !ok {
-		l.Waste.Late += count(sample.Spans)
+		t.Waste.Late += count(sample.Spans)
 		return false
 	}
 	s.tokens = count(sample.Spans)
-	if l.tooOld(sample.Oldest()) {
-		l.dropStale(s)
+	if t.tooOld(sample.Oldest()) {
+		t.dropStale(s)
 		return false
 	}
 	s.sample = sample
-	l.move(s, ready)
+	t.move(s, ready)
 	return true
 }
 
-// Put fills a missing slot with a sample that another owner of the step made.
-func (l *Ledger) Put(sample *Sample) {
-	if sample.Slot < 0 || int(sample.Slot) >= len(l.slots) || l.tooOld(sample.Oldest()) {
+// ImportSample fills a missing slot with a sample that another owner of the step made.
+func (t *Tracker) ImportSample(sample *Sample) {
+	if sample.Slot < 0 || int(sample.Slot) >= len(t.slots) || t.tooOld(sample.Oldest()) {
 		return
 	}
-	s := &l.slots[sample.Slot]
+	s := &t.slots[sample.Slot]
 	if s.phase != missing {
 		return
 	}
 	s.sample = sample
 	s.tokens = count(sample.Spans)
-	l.move(s, ready)
+	t.move(s, ready)
 }
 
-// Leave returns what a next owner needs: the slots that the trainer holds and
+// Export returns what a next owner needs: the slots that the trainer holds and
 // the samples that are ready.
-func (l *Ledger) Leave() (have Set, samples []*Sample) {
-	for i := range l.slots {
-		switch s := &l.slots[i]; s.phase {
+func (t *Tracker) Export() (have Set, samples []*Sample) {
+	for i := range t.slots {
+		switch s := &t.slots[i]; s.phase {
 		case held:
 			have.Add(ident.Slot(i))
 		case ready:
@@ -233,46 +233,46 @@
 }
 
 // Fail makes the attempt's slot missing again.
-func (l *Ledger) Fail(a Attempt) {
-	s, ok := l.current(a)
+func (t *Tracker) Fail(a Attempt) {
+	s, ok := t.current(a)
 	if !ok {
 		return
 	}
-	l.Waste.Failed += s.tokens
-	l.move(s, missing)
+	t.Waste.Failed += s.tokens
+	t.move(s, missing)
 }
 
-// SetBound puts a changed staleness bound in force.
-func (l *Ledger) SetBound(bound ident.Version) {
-	l.Spec.Bound = bound
+// SetStalenessBound puts a changed staleness bound in force.
+func (t *Tracker) SetStalenessBound(bound ident.Version) {
+	t.Spec.StalenessBound = bound
 }
 
-// Publish notes the newest version that the trainer has published and drops
+// ObserveVersion notes the newest version that the trainer has published and drops
 // what is too old by now. Running attempts learn it from Progress.
-func (l *Ledger) Publish(version ident.Version) {
-	l.newest = max(l.newest, version)
-	for i := range l.slots {
-		if s := &l.slots[i]; !s.handed {
-			l.dropIfOld(s)
+func (t *Tracker) ObserveVersion(version ident.Version) {
+	t.newest = max(t.newest, version)
+	for i := range t.slots {
+		if s := &t.slots[i]; !s.handed {
+			t.dropIfOld(s)
 		}
 	}
 }
 
-func (l *Ledger) dropIfOld(s *slotState) {
-	if s.phase == ready && l.tooOld(s.sample.Oldest()) {
-		l.dropStale(s)
+func (t *Tracker) dropIfOld(s *slotState) {
+	if s.phase == ready && t.tooOld(s.sample.Oldest()) {
+		t.dropStale(s)
 	}
 }
 
-// Hand returns up to limit ready samples for a trainer that holds the slots of
+// HandOver returns up to limit ready samples for a trainer that holds the slots of
 // have and has published version. It is the last check of the staleness bound.
-func (l *Ledger) Hand(have Set, version ident.Version, limit int) []*Sample {
-	l.Publish(version)
-	l.hold(have)
+func (t *Tracker) HandOver(have Set, version ident.Version, limit int) []*Sample {
+	t.ObserveVersion(version)
+	t.hold(have)
 	var samples []*Sample
-	for i := range l.slots {
-		s := &l.slots[i]
-		l.dropIfOld(s)
+	for i := range t.slots {
+		s := &t.slots[i]
+		t.dropIfOld(s)
 		if s.phase == ready && len(samples) < limit {
 			samples = append(samples, s.sample)
 			s.handed = true
@@ -283,9 +283,9 @@
 
 // hold notes the slots that the trainer says it holds. What the trainer holds
 // is held, whoever made it.
-func (l *Ledger) hold(have Set) {
-	for i := range l.slots {
-		s := &l.slots[i]
+func (t *Tracker) hold(have Set) {
+	for i := range t.slots {
+		s := &t.slots[i]
 		if !have.Has(ident.Slot(i)) || s.phase == held {
 			continue
 		}
@@ -293,42 +293,42 @@
 			s.attempt++
 		}
 		s.sample = nil
-		l.move(s, held)
+		t.move(s, held)
 	}
 }
 
-func (l *Ledger) tooOld(oldest ident.Version) bool {
-	return l.newest-oldest > l.Spec.Bound
+func (t *Tracker) tooOld(oldest ident.Version) bool {
+	return t.newest-oldest > t.Spec.StalenessBound
 }
 
-func (l *Ledger) dropStale(s *slotState) {
-	l.Waste.Stale += s.tokens
-	l.StaleDropped++
+func (t *Tracker) dropStale(s *slotState) {
+	t.Waste.Stale += s.tokens
+	t.StaleDropped++
 	s.sample = nil
 	s.handed = false
 	s.attempt++
-	l.move(s, missing)
+	t.move(s, missing)
 }
 
-func (l *Ledger) current(a Attempt) (*slotState, bool) {
-	s := &l.slots[a.Slot]
+func (t *Tracker) current(a Attempt) (*slotState, bool) {
+	s := &t.slots[a.Slot]
 	return s, s.phase == running && s.attempt == a.Number
 }
 
-func (l *Ledger) move(s *slotState, to phase) {
-	l.tally(s.phase, -1)
-	l.tally(to, 1)
+func (t *Tracker) move(s *slotState, to phase) {
+	t.tally(s.phase, -1)
+	t.tally(to, 1)
 	s.phase = to
 }
 
-func (l *Ledger) tally(p phase, by int) {
+func (t *Tracker) tally(p phase, by int) {
 	switch p {
 	case missing:
-		l.missing += by
+		t.missing += by
 	case running:
-		l.running += by
+		t.running += by
 	case held:
-		l.held += by
+		t.held += by
 	case ready:
 	}
 }
--- a/kernel/steps/steps_test.go
+++ b/kernel/steps/steps_test.go
@@ -19,7 +19,7 @@
 }
 
 func spec() Spec {
-	return Spec{Trainer: "t", Step: 1, Prompts: []string{"p", "q"}, GroupSize: 2, MaxTokens: 10, Bound: 1}
+	return Spec{Trainer: "t", Step: 1, Prompts: []string{"p", "q"}, GroupSize: 2, MaxTokens: 10, StalenessBound: 1}
 }
 
 func noGuess(string) ident.Tokens { return 0 }
@@ -39,7 +39,7 @@
 // trainerModel is a trainer with two owners of the same step, one of them
 // stale: pulls go to either, answers are lost, versions are published.
 type trainerModel struct {
-	owners   []*Ledger
+	owners   []*Tracker
 	attempts [][]Attempt
 	have     Set
 	got      map[ident.Slot]int
@@ -78,7 +78,7 @@
 func (m *trainerModel) publish(*rapid.T) { m.version++ }
 
 func (m *trainerModel) pull(t *rapid.T) {
-	samples := m.owners[m.owner(t)].Hand(m.have, m.version, rapid.IntRange(1, 4).Draw(t, "most"))
+	samples := m.owners[m.owner(t)].HandOver(m.have, m.version, rapid.IntRange(1, 4).Draw(t, "most"))
 	if rapid.Bool().Draw(t, "answer lost") {
 		return
 	}
@@ -108,7 +108,7 @@
 func TestEachSlotIsHandedOverOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &trainerModel{got: map[ident.Slot]int{}, version: 1, attempts: make([][]Attempt, 2)}
-		m.owners = []*Ledger{Open(spec(), Set{}, noGuess, byLength(t)), Open(spec(), Set{}, noGuess, byLength(t))}
+		m.owners = []*Tracker{New(spec(), Set{}, noGuess, byLength(t)), New(spec(), Set{}, noGuess, byLength(t))}
 		t.Repeat(map[string]func(*rapid.T){
 			"start": m.start, "fill": m.fill, "fail": m.fail, "publish": m.publish, "pull": m.pull, "": m.check,
 		})
@@ -117,7 +117,7 @@
 
 func TestLedger(t *testing.T) {
 	t.Run("the slots expected longest start first", func(t *testing.T) {
-		l := Open(spec(), Set{}, func(p string) ident.Tokens {
+		l := New(spec(), Set{}, func(p string) ident.Tokens {
 			if p == "q" {
 				return 9
 			}
@@ -128,49 +128,49 @@
 		}
 	})
 	t.Run("an attempt that gets too old is given up early", func(t *testing.T) {
-		l := Open(spec(), Set{}, noGuess, byLength(t))
+		l := New(spec(), Set{}, noGuess, byLength(t))
 		a, _ := l.Next()
 		if !l.Progress(a, 3, 1) {
 			t.Fatal("given up within the bound")
 		}
-		l.Publish(3)
+		l.ObserveVersion(3)
 		if l.Progress(a, 4, 1) || l.Waste.Stale == 0 {
 			t.Fatal("kept beyond the bound")
 		}
 	})
 	t.Run("what was handed over is not made again until the trainer lacks it", func(t *testing.T) {
-		l := Open(spec(), Set{}, noGuess, byLength(t))
+		l := New(spec(), Set{}, noGuess, byLength(t))
 		a, _ := l.Next()
 		l.Fill(a, sampleOf(a, 1))
-		l.Hand(Set{}, 1, 4)
-		l.Publish(9)
+		l.HandOver(Set{}, 1, 4)
+		l.ObserveVersion(9)
 		if missing := l.Missing(); missing != 3 {
 			t.Fatalf("%d missing: a sample that the trainer may hold is made again", missing)
 		}
-		l.Hand(Set{}, 9, 4)
+		l.HandOver(Set{}, 9, 4)
 		if missing := l.Missing(); missing != 4 {
 			t.Fatalf("%d missing: the trainer lacks it, and it is too old", missing)
 		}
 	})
 	t.Run("version 0 is a version", func(t *testing.T) {
-		l := Open(spec(), Set{}, noGuess, byLength(t))
-		l.Publish(2)
+		l := New(spec(), Set{}, noGuess, byLength(t))
+		l.ObserveVersion(2)
 		a, _ := l.Next()
 		if l.Fill(a, sampleOf(a, 0)) {
 			t.Fatal("a sample of unpublished weights was taken as fresh")
 		}
 	})
 	t.Run("a next owner gets what is ready and held", func(t *testing.T) {
-		l := Open(spec(), Set{}, noGuess, byLength(t))
+		l := New(spec(), Set{}, noGuess, byLength(t))
 		a, _ := l.Next()
 		l.Fill(a, sampleOf(a, 1))
 		var have Set
 		have.Add(3)
-		l.Hand(have, 1, 0)
-		held, ready := l.Leave()
-		next := Open(spec(), held, noGuess, byLength(t))
+		l.HandOver(have, 1, 0)
+		held, ready := l.Export()
+		next := New(spec(), held, noGuess, byLength(t))
 		for _, s := range ready {
-			next.Put(s)
+			next.ImportSample(s)
 		}
 		if _, _, r, h := next.Counts(); r != 1 || h != 1 {
 			t.Fatalf("ready %d, held %d", r, h)
