--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -86,8 +86,8 @@
 	if table == nil {
 		return 0
 	}
-	route, _ := table.Exact(accept.Host, accept.Prefix)
-	return table.Organisations.Urgent(accept.Organisation, route.Urgent)
+	route, _ := table.FindExact(accept.Host, accept.Prefix)
+	return table.Organisations.Urgent(accept.Organisation, route.Priority)
 }
 
 // generate has an engine make the rest of the text.
@@ -185,8 +185,8 @@
 		return
 	}
 	attempts := 1
-	if route, ok := r.Routes().Exact(c.accept.Host, c.accept.Prefix); ok {
-		attempts = max(route.Attempts, 1)
+	if route, ok := r.Routes().FindExact(c.accept.Host, c.accept.Prefix); ok {
+		attempts = max(route.MaxAttempts, 1)
 	}
 	pause := 0
 	switch {
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -71,9 +71,9 @@
 	}
 	for _, job := range open {
 		accept := job.Accept
-		if route, ok := table.Exact(accept.Host, accept.Prefix); ok {
+		if route, ok := table.FindExact(accept.Host, accept.Prefix); ok {
 			accept.Service = route.Shares[0].Service
-			s.due[job.Job] = route.Due
+			s.due[job.Job] = route.JobDeadline
 		}
 		s.accepts[job.Job] = accept
 	}
--- a/croftmoor/proxy/harm_test.go
+++ b/croftmoor/proxy/harm_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	_, err := p.Do(t.Context(), Request{
 		ID: ident.RequestID(id), Method: http.MethodPost, Target: "/x", Body: []byte("b"), Until: p.Clock.Mono() + clock.Second,
-		Route: paths.Route{Repeat: paths.Repeatable, Attempts: attempts, Shares: []paths.Share{{Service: "plain", Weight: 1}}},
+		Route: paths.Route{Kind: paths.Repeatable, MaxAttempts: attempts, Shares: []paths.Share{{Service: "plain", Weight: 1}}},
 	})
 	return err
 }
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -188,7 +188,7 @@
 }
 
 // left tells whether the call may go to one more server.
-func (s *state) left(route paths.Route) bool { return s.tries-s.vain < max(route.Attempts, 1) }
+func (s *state) left(route paths.Route) bool { return s.tries-s.vain < max(route.MaxAttempts, 1) }
 
 func (p *Proxy) pick(r Request, s *state) *pool.Server {
 	query := pool.Query{
@@ -232,7 +232,7 @@
 
 // try sends the call to one server. It reports whether another may be tried.
 func (p *Proxy) try(ctx context.Context, r Request, server *pool.Server, s *state) (answer *httpc.Answer, again bool) {
-	repeatable := r.Route.Repeat == paths.Repeatable
+	repeatable := r.Route.Kind == paths.Repeatable
 	left := r.Until - p.Clock.Mono()
 	patience := left
 	if repeatable && s.left(r.Route) {
--- a/croftmoor/proxy/proxy_test.go
+++ b/croftmoor/proxy/proxy_test.go
@@ -73,7 +73,7 @@
 	for n := range calls {
 		answer, err := p.Do(t.Context(), Request{
 			ID: ident.RequestID("r-" + strconv.Itoa(n)), Method: http.MethodPost, Target: "/x", Until: p.Clock.Mono() + clock.Second,
-			Route: paths.Route{Repeat: paths.Repeatable, Attempts: 2, Shares: []paths.Share{{Service: "plain", Weight: 1}}},
+			Route: paths.Route{Kind: paths.Repeatable, MaxAttempts: 2, Shares: []paths.Share{{Service: "plain", Weight: 1}}},
 		})
 		if err != nil || answer.Status != http.StatusOK {
 			t.Fatalf("call %d: %v, %v", n, answer, err)
--- a/croftmoor/proxy/room.go
+++ b/croftmoor/proxy/room.go
@@ -46,8 +46,8 @@
 	}
 	now := p.Clock.Mono()
 	ask := admit.Ask{Organisation: r.sharer(), Rank: r.Urgent, StartBy: r.Until, Until: r.Until}
-	if r.Route.Objective > 0 {
-		ask.StartBy = min(now+r.Route.Objective, r.Until)
+	if r.Route.LatencyObjective > 0 {
+		ask.StartBy = min(now+r.Route.LatencyObjective, r.Until)
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, (r.Until - now).Duration())
 	defer cancel()
@@ -84,7 +84,7 @@
 	}
 	shed := v.NotRun && a.Status == http.StatusServiceUnavailable
 	s.costly = s.costly || shed
-	signal := admit.Signal{Server: server, Shed: shed, Took: took, Objective: r.Route.Objective}
+	signal := admit.Signal{Server: server, Shed: shed, Took: took, Objective: r.Route.LatencyObjective}
 	if v.HasLoad {
 		signal.Waiting, signal.Slots = v.Load.Waiting, v.Load.Slots
 	}
--- a/croftmoor/proxy/stream.go
+++ b/croftmoor/proxy/stream.go
@@ -142,7 +142,7 @@
 	}
 	return &httpc.Call{
 		Address: server.Address(), Method: r.Method, Path: r.Target, Body: r.Body, Headers: headers,
-		Fresh:  r.Route.Repeat != paths.Repeatable && !r.Route.Resumable,
+		Fresh:  r.Route.Kind != paths.Repeatable && !r.Route.Resumable,
 		Accept: func(a *httpc.Answer) bool { return p.Protocol.Own(&r, a) },
 	}
 }
--- a/croftmoor/swaps/swaps.go
+++ b/croftmoor/swaps/swaps.go
@@ -272,7 +272,7 @@
 
 // mannerOf lets runs end first where a text must be of one version.
 func mannerOf(table *paths.Table, service ident.Service) Manner {
-	if table.SingleVersionAt(service) {
+	if table.RequiresSingleVersion(service) {
 		return Drain
 	}
 	return Keep
--- a/kernel/paths/paths.go
+++ b/kernel/paths/paths.go
@@ -13,19 +13,19 @@
 	"croftmoor.dev/kernel/scale"
 )
 
-// Repeat tells how often a request of a route may run.
-type Repeat string
+// RouteKind tells how often a request of a route may run.
+type RouteKind string
 
 // Ways to run requests.
 const (
 	// Repeatable requests may run more than once.
-	Repeatable Repeat = "Repeatable"
+	Repeatable RouteKind = "Repeatable"
 	// Once requests run at most once for each attempt of the caller.
-	Once Repeat = "Once"
+	Once RouteKind = "Once"
 	// Stream requests are answered in events.
-	Stream Repeat = "Stream"
+	Stream RouteKind = "Stream"
 	// Batch requests submit batch jobs.
-	Batch Repeat = "Batch"
+	Batch RouteKind = "Batch"
 )
 
 // Share is a service's share of a route's requests.
@@ -39,26 +39,26 @@
 	Name   string
 	Host   string
 	Prefix string
-	Repeat Repeat
+	Kind   RouteKind
 	// Resumable streams may be continued at another backend server.
 	Resumable bool
 	// SingleVersion asks that one version of the weights makes the whole of a text.
 	SingleVersion bool
 	// Shares has at least one entry.
 	Shares []Share
-	// Attempts is the greatest number of backend servers for one attempt of a caller.
-	Attempts int
+	// MaxAttempts is the greatest number of backend servers for one attempt of a caller.
+	MaxAttempts int
 	// Timeout bounds a request; 0 is no bound.
 	Timeout clock.Millis
 	// Public requests need no key.
 	Public bool
-	// Urgent is the rank of the route's requests, 0 first.
-	Urgent int
-	// Objective is the time within which callers want an answer; 0 is no such time.
-	Objective clock.Millis
-	// Due is the time after its submission by which a batch job should be done; 0 is
+	// Priority is the rank of the route's requests, 0 first.
+	Priority int
+	// LatencyObjective is the time within which callers want an answer; 0 is no such time.
+	LatencyObjective clock.Millis
+	// JobDeadline is the time after its submission by which a batch job should be done; 0 is
 	// no such time.
-	Due clock.Millis
+	JobDeadline clock.Millis
 }
 
 // Service is what the configuration says of a service.
@@ -117,8 +117,8 @@
 	return routes[found], true
 }
 
-// Exact returns the route of a host with just this prefix.
-func (t *Table) Exact(host, prefix string) (Route, bool) {
+// FindExact returns the route of a host with just this prefix.
+func (t *Table) FindExact(host, prefix string) (Route, bool) {
 	for _, r := range t.byHost[strings.ToLower(host)] {
 		if r.Prefix == prefix {
 			return r, true
@@ -145,8 +145,8 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// SingleVersionAt tells whether a route to the service wants texts of one version.
-func (t *Table) SingleVersionAt(service ident.Service) bool {
+// RequiresSingleVersion tells whether a route to the service wants texts of one version.
+func (t *Table) RequiresSingleVersion(service ident.Service) bool {
 	for _, routes := range t.byHost {
 		for _, r := range routes {
 			if r.SingleVersion && r.Shares[0].Service == service {
@@ -157,9 +157,9 @@
 	return false
 }
 
-// TakesPublicJobs tells whether jobs may be submitted to a host without a key.
-func (t *Table) TakesPublicJobs(host string) bool {
-	return slices.ContainsFunc(t.byHost[strings.ToLower(host)], func(r Route) bool { return r.Public && r.Repeat == Batch })
+// AcceptsPublicJobs tells whether jobs may be submitted to a host without a key.
+func (t *Table) AcceptsPublicJobs(host string) bool {
+	return slices.ContainsFunc(t.byHost[strings.ToLower(host)], func(r Route) bool { return r.Public && r.Kind == Batch })
 }
 
 // Routes returns all routes.
