--- a/kernel/jobs/state.go
+++ b/kernel/jobs/state.go
@@ -209,13 +209,13 @@
 		Accept: a, SeenAt: now, FromBacklog: !s.CaughtUp, Items: make([]Item, len(a.Items)), Waiting: len(a.Items),
 		GroupLengths: map[ident.Group]ident.Tokens{}, ResubmittedGroups: map[ident.Group]bool{},
 	}
-	for i, plan := range a.Items {
-		job.Items[i] = s.newItem(a, plan)
-		job.GroupLengths[plan.Group] = max(job.GroupLengths[plan.Group], plan.Expect)
+	for i, spec := range a.Items {
+		job.Items[i] = s.newItem(a, spec)
+		job.GroupLengths[spec.Group] = max(job.GroupLengths[spec.Group], spec.Expect)
 		if job.Items[i].Resubmitted {
-			job.ResubmittedGroups[plan.Group] = true
+			job.ResubmittedGroups[spec.Group] = true
 		}
-		s.LatestJob[plan.ID] = a.Job
+		s.LatestJob[spec.ID] = a.Job
 	}
 	job.Accept.Items = nil
 	s.Jobs[a.Job] = job
@@ -224,15 +224,15 @@
 
 // newItem returns the initial state of an item. If an earlier job contained the item,
 // its saved text is reused where the job's version limits allow.
-func (s *State) newItem(a Accept, plan ItemSpec) Item {
-	item := Item{ItemSpec: plan}
-	earlier := s.Jobs[s.LatestJob[plan.ID]]
+func (s *State) newItem(a Accept, spec ItemSpec) Item {
+	item := Item{ItemSpec: spec}
+	earlier := s.Jobs[s.LatestJob[spec.ID]]
 	if earlier == nil {
 		return item
 	}
 	item.Resubmitted = true
 	for _, old := range earlier.Items {
-		if old.ID == plan.ID && old.Partial.Fits(a.MinVersion, a.SingleVersion) {
+		if old.ID == spec.ID && old.Partial.Fits(a.MinVersion, a.SingleVersion) {
 			item.Partial = old.Partial
 		}
 	}
--- a/kernel/paths/paths.go
+++ b/kernel/paths/paths.go
@@ -86,15 +86,15 @@
 	// used.
 	Organisations *access.Directory
 
-	byHost map[string][]Route
+	routesByHost map[string][]Route
 }
 
 // NewTable returns a table of routes.
 func NewTable(version int64, routes []Route, services []Service, limits Limits) *Table {
-	t := &Table{Version: version, Services: map[ident.Service]Service{}, Limits: limits, byHost: map[string][]Route{}}
+	t := &Table{Version: version, Services: map[ident.Service]Service{}, Limits: limits, routesByHost: map[string][]Route{}}
 	for _, r := range routes {
 		host := strings.ToLower(r.Host)
-		t.byHost[host] = append(t.byHost[host], r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
 	}
 	for _, s := range services {
 		t.Services[s.Name] = s
@@ -105,7 +105,7 @@
 // Find returns the route of a host with the longest prefix of path.
 func (t *Table) Find(host, path string) (Route, bool) {
 	found := -1
-	routes := t.byHost[strings.ToLower(host)]
+	routes := t.routesByHost[strings.ToLower(host)]
 	for i, r := range routes {
 		if strings.HasPrefix(path, r.Prefix) && (found < 0 || len(r.Prefix) > len(routes[found].Prefix)) {
 			found = i
@@ -119,7 +119,7 @@
 
 // FindExact returns the route of a host with just this prefix.
 func (t *Table) FindExact(host, prefix string) (Route, bool) {
-	for _, r := range t.byHost[strings.ToLower(host)] {
+	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		if r.Prefix == prefix {
 			return r, true
 		}
@@ -136,9 +136,9 @@
 	if total == 0 {
 		return r.Shares[0].Service
 	}
-	at := random.IntN(total)
+	remaining := random.IntN(total)
 	for _, s := range r.Shares {
-		if at -= max(s.Weight, 0); at < 0 {
+		if remaining -= max(s.Weight, 0); remaining < 0 {
 			return s.Service
 		}
 	}
@@ -147,7 +147,7 @@
 
 // RequiresSingleVersion tells whether a route to the service wants texts of one version.
 func (t *Table) RequiresSingleVersion(service ident.Service) bool {
-	for _, routes := range t.byHost {
+	for _, routes := range t.routesByHost {
 		for _, r := range routes {
 			if r.SingleVersion && r.Shares[0].Service == service {
 				return true
@@ -159,13 +159,13 @@
 
 // AcceptsPublicJobs tells whether jobs may be submitted to a host without a key.
 func (t *Table) AcceptsPublicJobs(host string) bool {
-	return slices.ContainsFunc(t.byHost[strings.ToLower(host)], func(r Route) bool { return r.Public && r.Kind == Batch })
+	return slices.ContainsFunc(t.routesByHost[strings.ToLower(host)], func(r Route) bool { return r.Public && r.Kind == Batch })
 }
 
 // Routes returns all routes.
 func (t *Table) Routes() []Route {
 	var all []Route
-	for _, routes := range t.byHost {
+	for _, routes := range t.routesByHost {
 		all = append(all, routes...)
 	}
 	return all
--- a/kernel/plug/plug.go
+++ b/kernel/plug/plug.go
@@ -19,28 +19,28 @@
 // Registry maps names to makers of T. The zero value is ready; entries are
 // guarded by mu.
 type Registry[T any] struct {
-	mu    sync.RWMutex
-	makes map[string]func() T
+	mu        sync.RWMutex
+	factories map[string]func() T
 }
 
 // Register adds a maker under name. It panics on a repeated name, since that
 // is a mistake in the program.
-func (r *Registry[T]) Register(name string, make func() T) {
+func (r *Registry[T]) Register(name string, factory func() T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.makes[name]; ok {
+	if _, ok := r.factories[name]; ok {
 		panic("plug: registered twice: " + name)
 	}
-	if r.makes == nil {
-		r.makes = map[string]func() T{}
+	if r.factories == nil {
+		r.factories = map[string]func() T{}
 	}
-	r.makes[name] = make
+	r.factories[name] = factory
 }
 
 // New makes the implementation registered under name.
 func (r *Registry[T]) New(name string) (T, error) {
 	r.mu.RLock()
-	make, ok := r.makes[name]
+	factory, ok := r.factories[name]
 	r.mu.RUnlock()
 	if !ok {
 		var none T
@@ -48,15 +48,15 @@
 		err.Do = "use one of " + strings.Join(r.Names(), ", ")
 		return none, err
 	}
-	return make(), nil
+	return factory(), nil
 }
 
 // Names lists the registered names in order.
 func (r *Registry[T]) Names() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	names := make([]string, 0, len(r.makes))
-	for name := range r.makes {
+	names := make([]string, 0, len(r.factories))
+	for name := range r.factories {
 		names = append(names, name)
 	}
 	slices.Sort(names)
--- a/kernel/steps/set.go
+++ b/kernel/steps/set.go
@@ -21,21 +21,21 @@
 	bits []byte
 }
 
-const byteBits = 8
+const bitsPerByte = 8
 
 // Has tells whether slot is in the set.
 func (s Set) Has(slot ident.Slot) bool {
-	i := int(slot) / byteBits
-	return slot >= 0 && i < len(s.bits) && s.bits[i]&(1<<(uint(slot)%byteBits)) != 0
+	i := int(slot) / bitsPerByte
+	return slot >= 0 && i < len(s.bits) && s.bits[i]&(1<<(uint(slot)%bitsPerByte)) != 0
 }
 
 // Add puts slot into the set.
 func (s *Set) Add(slot ident.Slot) {
-	i := int(slot) / byteBits
+	i := int(slot) / bitsPerByte
 	for len(s.bits) <= i {
 		s.bits = append(s.bits, 0)
 	}
-	s.bits[i] |= 1 << (uint(slot) % byteBits)
+	s.bits[i] |= 1 << (uint(slot) % bitsPerByte)
 }
 
 // Text returns the set as base64 text for the wire.
--- a/kernel/steps/steps.go
+++ b/kernel/steps/steps.go
@@ -79,9 +79,9 @@
 	oldest  ident.Version
 	tokens  ident.Tokens
 	sample  *Sample
-	// handed tells that the sample was in an answer to a pull. Whether the
+	// handedOver tells that the sample was in an answer to a pull. Whether the
 	// trainer has it is only known from its next pull of the step.
-	handed bool
+	handedOver bool
 }
 
 // Attempt is one try at filling a slot.
@@ -105,28 +105,28 @@
 	// StaleDropped counts samples and attempts dropped for staleness.
 	StaleDropped int
 
-	slots   []slotState
-	order   []ident.Slot
-	newest  ident.Version
-	missing int
-	running int
-	held    int
+	slots         []slotState
+	startOrder    []ident.Slot
+	newestVersion ident.Version
+	missing       int
+	running       int
+	held          int
 }
 
 // New returns a ledger in which the slots of have are held by the trainer.
 // Expect predicts lengths, and the policy orders the slots by them.
-func New(spec Spec, have Set, expect func(prompt string) ident.Tokens, policy place.Policy) *Tracker {
+func New(spec Spec, have Set, expectedTokens func(prompt string) ident.Tokens, policy place.Policy) *Tracker {
 	l := &Tracker{Spec: spec, slots: make([]slotState, spec.Slots())}
 	order := make([]place.Slot, len(l.slots))
 	for i := range l.slots {
-		order[i] = place.Slot{Index: ident.Slot(i), Expect: expect(spec.Prompt(ident.Slot(i)))}
+		order[i] = place.Slot{Index: ident.Slot(i), Expect: expectedTokens(spec.Prompt(ident.Slot(i)))}
 	}
 	l.missing = len(l.slots)
 	slices.SortFunc(order, policy.Compare)
 	for _, slot := range order {
-		l.order = append(l.order, slot.Index)
+		l.startOrder = append(l.startOrder, slot.Index)
 	}
-	l.hold(have)
+	l.markHeld(have)
 	return l
 }
 
@@ -155,12 +155,12 @@
 	if t.missing == 0 {
 		return Attempt{}, false
 	}
-	for _, slot := range t.order {
+	for _, slot := range t.startOrder {
 		s := &t.slots[slot]
 		if s.phase != missing {
 			continue
 		}
-		t.move(s, running)
+		t.setPhase(s, running)
 		s.attempt++
 		s.tokens = 0
 		s.oldest = 0
@@ -172,13 +172,13 @@
 // Progress notes how far an attempt is and the oldest version in it. It
 // reports false when the attempt is no longer wanted and must be cancelled.
 func (t *Tracker) Progress(a Attempt, tokens ident.Tokens, oldest ident.Version) bool {
-	s, ok := t.current(a)
+	s, ok := t.runningSlot(a)
 	if !ok {
 		return false
 	}
 	s.tokens = tokens
 	s.oldest = oldest
-	if t.tooOld(oldest) {
+	if t.isStale(oldest) {
 		t.dropStale(s)
 		return false
 	}
@@ -188,24 +188,24 @@
 // Fill puts the attempt's sample into its slot. It reports false for an
 // attempt that is no longer wanted; its tokens are counted as waste.
 func (t *Tracker) Fill(a Attempt, sample *Sample) bool {
-	s, ok := t.current(a)
+	s, ok := t.runningSlot(a)
 	if !ok {
-		t.Waste.Late += count(sample.Spans)
+		t.Waste.Late += sumTokens(sample.Spans)
 		return false
 	}
-	s.tokens = count(sample.Spans)
-	if t.tooOld(sample.Oldest()) {
+	s.tokens = sumTokens(sample.Spans)
+	if t.isStale(sample.Oldest()) {
 		t.dropStale(s)
 		return false
 	}
 	s.sample = sample
-	t.move(s, ready)
+	t.setPhase(s, ready)
 	return true
 }
 
 // ImportSample fills a missing slot with a sample that another owner of the step made.
 func (t *Tracker) ImportSample(sample *Sample) {
-	if sample.Slot < 0 || int(sample.Slot) >= len(t.slots) || t.tooOld(sample.Oldest()) {
+	if sample.Slot < 0 || int(sample.Slot) >= len(t.slots) || t.isStale(sample.Oldest()) {
 		return
 	}
 	s := &t.slots[sample.Slot]
@@ -213,8 +213,8 @@
 		return
 	}
 	s.sample = sample
-	s.tokens = count(sample.Spans)
-	t.move(s, ready)
+	s.tokens = sumTokens(sample.Spans)
+	t.setPhase(s, ready)
 }
 
 // Export returns what a next owner needs: the slots that the trainer holds and
@@ -234,12 +234,12 @@
 
 // Fail makes the attempt's slot missing again.
 func (t *Tracker) Fail(a Attempt) {
-	s, ok := t.current(a)
+	s, ok := t.runningSlot(a)
 	if !ok {
 		return
 	}
 	t.Waste.Failed += s.tokens
-	t.move(s, missing)
+	t.setPhase(s, missing)
 }
 
 // SetStalenessBound puts a changed staleness bound in force.
@@ -250,16 +250,16 @@
 // ObserveVersion notes the newest version that the trainer has published and drops
 // what is too old by now. Running attempts learn it from Progress.
 func (t *Tracker) ObserveVersion(version ident.Version) {
-	t.newest = max(t.newest, version)
+	t.newestVersion = max(t.newestVersion, version)
 	for i := range t.slots {
-		if s := &t.slots[i]; !s.handed {
-			t.dropIfOld(s)
+		if s := &t.slots[i]; !s.handedOver {
+			t.dropIfStale(s)
 		}
 	}
 }
 
-func (t *Tracker) dropIfOld(s *slotState) {
-	if s.phase == ready && t.tooOld(s.sample.Oldest()) {
+func (t *Tracker) dropIfStale(s *slotState) {
+	if s.phase == ready && t.isStale(s.sample.Oldest()) {
 		t.dropStale(s)
 	}
 }
@@ -268,22 +268,22 @@
 // have and has published version. It is the last check of the staleness bound.
 func (t *Tracker) HandOver(have Set, version ident.Version, limit int) []*Sample {
 	t.ObserveVersion(version)
-	t.hold(have)
+	t.markHeld(have)
 	var samples []*Sample
 	for i := range t.slots {
 		s := &t.slots[i]
-		t.dropIfOld(s)
+		t.dropIfStale(s)
 		if s.phase == ready && len(samples) < limit {
 			samples = append(samples, s.sample)
-			s.handed = true
+			s.handedOver = true
 		}
 	}
 	return samples
 }
 
-// hold notes the slots that the trainer says it holds. What the trainer holds
+// markHeld notes the slots that the trainer says it holds. What the trainer holds
 // is held, whoever made it.
-func (t *Tracker) hold(have Set) {
+func (t *Tracker) markHeld(have Set) {
 	for i := range t.slots {
 		s := &t.slots[i]
 		if !have.Has(ident.Slot(i)) || s.phase == held {
@@ -293,35 +293,35 @@
 			s.attempt++
 		}
 		s.sample = nil
-		t.move(s, held)
+		t.setPhase(s, held)
 	}
 }
 
-func (t *Tracker) tooOld(oldest ident.Version) bool {
-	return t.newest-oldest > t.Spec.StalenessBound
+func (t *Tracker) isStale(oldest ident.Version) bool {
+	return t.newestVersion-oldest > t.Spec.StalenessBound
 }
 
 func (t *Tracker) dropStale(s *slotState) {
 	t.Waste.Stale += s.tokens
 	t.StaleDropped++
 	s.sample = nil
-	s.handed = false
+	s.handedOver = false
 	s.attempt++
-	t.move(s, missing)
+	t.setPhase(s, missing)
 }
 
-func (t *Tracker) current(a Attempt) (*slotState, bool) {
+func (t *Tracker) runningSlot(a Attempt) (*slotState, bool) {
 	s := &t.slots[a.Slot]
 	return s, s.phase == running && s.attempt == a.Number
 }
 
-func (t *Tracker) move(s *slotState, to phase) {
-	t.tally(s.phase, -1)
-	t.tally(to, 1)
+func (t *Tracker) setPhase(s *slotState, to phase) {
+	t.adjustCount(s.phase, -1)
+	t.adjustCount(to, 1)
 	s.phase = to
 }
 
-func (t *Tracker) tally(p phase, by int) {
+func (t *Tracker) adjustCount(p phase, by int) {
 	switch p {
 	case missing:
 		t.missing += by
@@ -333,7 +333,7 @@
 	}
 }
 
-func count(spans []Span) ident.Tokens {
+func sumTokens(spans []Span) ident.Tokens {
 	var sum ident.Tokens
 	for _, span := range spans {
 		sum += span.Tokens
--- a/kernel/steps/steps_test.go
+++ b/kernel/steps/steps_test.go
@@ -22,7 +22,7 @@
 	return Spec{Trainer: "t", Step: 1, Prompts: []string{"p", "q"}, GroupSize: 2, MaxTokens: 10, StalenessBound: 1}
 }
 
-func noGuess(string) ident.Tokens { return 0 }
+func zeroLength(string) ident.Tokens { return 0 }
 
 func byLength(t interface{ Fatal(...any) }) place.Policy {
 	policy, err := place.Policies.New(place.Longest)
@@ -42,7 +42,7 @@
 	owners   []*Tracker
 	attempts [][]Attempt
 	have     Set
-	got      map[ident.Slot]int
+	received map[ident.Slot]int
 	version  ident.Version
 }
 
@@ -83,7 +83,7 @@
 		return
 	}
 	for _, s := range samples {
-		m.got[s.Slot]++
+		m.received[s.Slot]++
 		m.have.Add(s.Slot)
 		if m.version-s.Oldest() > 1 {
 			t.Fatalf("slot %d is %d versions old", s.Slot, m.version-s.Oldest())
@@ -92,7 +92,7 @@
 }
 
 func (m *trainerModel) check(t *rapid.T) {
-	for slot, n := range m.got {
+	for slot, n := range m.received {
 		if n > 1 {
 			t.Fatalf("slot %d was handed over %d times", slot, n)
 		}
@@ -107,8 +107,8 @@
 
 func TestEachSlotIsHandedOverOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &trainerModel{got: map[ident.Slot]int{}, version: 1, attempts: make([][]Attempt, 2)}
-		m.owners = []*Tracker{New(spec(), Set{}, noGuess, byLength(t)), New(spec(), Set{}, noGuess, byLength(t))}
+		m := &trainerModel{received: map[ident.Slot]int{}, version: 1, attempts: make([][]Attempt, 2)}
+		m.owners = []*Tracker{New(spec(), Set{}, zeroLength, byLength(t)), New(spec(), Set{}, zeroLength, byLength(t))}
 		t.Repeat(map[string]func(*rapid.T){
 			"start": m.start, "fill": m.fill, "fail": m.fail, "publish": m.publish, "pull": m.pull, "": m.check,
 		})
@@ -128,7 +128,7 @@
 		}
 	})
 	t.Run("an attempt that gets too old is given up early", func(t *testing.T) {
-		l := New(spec(), Set{}, noGuess, byLength(t))
+		l := New(spec(), Set{}, zeroLength, byLength(t))
 		a, _ := l.Next()
 		if !l.Progress(a, 3, 1) {
 			t.Fatal("given up within the bound")
@@ -139,7 +139,7 @@
 		}
 	})
 	t.Run("what was handed over is not made again until the trainer lacks it", func(t *testing.T) {
-		l := New(spec(), Set{}, noGuess, byLength(t))
+		l := New(spec(), Set{}, zeroLength, byLength(t))
 		a, _ := l.Next()
 		l.Fill(a, sampleOf(a, 1))
 		l.HandOver(Set{}, 1, 4)
@@ -153,7 +153,7 @@
 		}
 	})
 	t.Run("version 0 is a version", func(t *testing.T) {
-		l := New(spec(), Set{}, noGuess, byLength(t))
+		l := New(spec(), Set{}, zeroLength, byLength(t))
 		l.ObserveVersion(2)
 		a, _ := l.Next()
 		if l.Fill(a, sampleOf(a, 0)) {
@@ -161,14 +161,14 @@
 		}
 	})
 	t.Run("a next owner gets what is ready and held", func(t *testing.T) {
-		l := New(spec(), Set{}, noGuess, byLength(t))
+		l := New(spec(), Set{}, zeroLength, byLength(t))
 		a, _ := l.Next()
 		l.Fill(a, sampleOf(a, 1))
 		var have Set
 		have.Add(3)
 		l.HandOver(have, 1, 0)
 		held, ready := l.Export()
-		next := New(spec(), held, noGuess, byLength(t))
+		next := New(spec(), held, zeroLength, byLength(t))
 		for _, s := range ready {
 			next.ImportSample(s)
 		}
