--- a/kernel/paths/paths.go
+++ b/kernel/paths/paths.go
@@ -1,5 +1,5 @@
-// Package paths is the routes of callers' requests: by host and the longest
-// path prefix to a service, with the limits that the operator set.
+// Package paths holds the routing table for callers' requests: it maps a host and the
+// longest matching path prefix to a route, and a route to a service.
 package paths
 
 import (
@@ -13,22 +13,22 @@
 	"croftmoor.dev/kernel/scale"
 )
 
-// RouteKind tells how often a request of a route may run.
+// RouteKind is how the requests of a route are run.
 type RouteKind string
 
-// Ways to run requests.
+// Kinds of routes.
 const (
 	// Repeatable requests may run more than once.
 	Repeatable RouteKind = "Repeatable"
-	// Once requests run at most once for each attempt of the caller.
+	// Once requests run at most once per attempt of the caller.
 	Once RouteKind = "Once"
-	// Stream requests are answered in events.
+	// Stream requests are answered as a stream of events.
 	Stream RouteKind = "Stream"
 	// Batch requests submit batch jobs.
 	Batch RouteKind = "Batch"
 )
 
-// Share is a service's share of a route's requests.
+// Share is the weight of a service in the distribution of a route's requests.
 type Share struct {
 	Service ident.Service
 	Weight  int
@@ -40,56 +40,56 @@
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Resumable streams may be continued at another backend server.
+	// Resumable streams may continue on another backend server.
 	Resumable bool
-	// SingleVersion asks that one version of the weights makes the whole of a text.
+	// SingleVersion requires that a single weight version generates the whole text.
 	SingleVersion bool
 	// Shares has at least one entry.
 	Shares []Share
-	// MaxAttempts is the greatest number of backend servers for one attempt of a caller.
+	// MaxAttempts bounds the backend servers tried for one attempt of the caller.
 	MaxAttempts int
-	// Timeout bounds a request; 0 is no bound.
+	// Timeout bounds a request; 0 means no bound.
 	Timeout clock.Millis
-	// Public requests need no key.
+	// Public requests need no API key.
 	Public bool
-	// Priority is the rank of the route's requests, 0 first.
+	// Priority is the rank of the route's requests; 0 comes first.
 	Priority int
-	// LatencyObjective is the time within which callers want an answer; 0 is no such time.
+	// LatencyObjective is the time within which callers want an answer; 0 means none.
 	LatencyObjective clock.Millis
-	// JobDeadline is the time after its submission by which a batch job should be done; 0 is
-	// no such time.
+	// JobDeadline is the time from submission within which a batch job should be done; 0
+	// means none.
 	JobDeadline clock.Millis
 }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name ident.Service
-	// Slots is how many requests an engine runs at once; 0 for plain services.
+	// Slots is the number of requests that an engine runs at once; 0 for plain services.
 	Slots  int
 	Models []ident.Model
-	// Scaling is nil where the number of engines is not ours to order.
+	// Scaling is nil if croftmoor does not control the number of engines.
 	Scaling *scale.Limits
 }
 
-// Limits bounds what a caller may send.
+// Limits bounds the size of callers' requests.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
 }
 
-// Table is one version of the routes. It is not changed once made.
+// Table is one version of the routing table. It is immutable once in use.
 type Table struct {
 	Version  int64
 	Services map[ident.Service]Service
 	Limits   Limits
-	// Organisations is nil where callers need no keys. It is set before the table is
+	// Organisations is nil if callers need no API keys. It must be set before the table is
 	// used.
 	Organisations *access.Directory
 
 	routesByHost map[string][]Route
 }
 
-// NewTable returns a table of routes.
+// NewTable returns a table of the given routes and services.
 func NewTable(version int64, routes []Route, services []Service, limits Limits) *Table {
 	t := &Table{Version: version, Services: map[ident.Service]Service{}, Limits: limits, routesByHost: map[string][]Route{}}
 	for _, r := range routes {
@@ -102,7 +102,8 @@
 	return t
 }
 
-// Find returns the route of a host with the longest prefix of path.
+// Find returns the route of the host with the longest prefix that matches path. Hosts
+// are compared without case.
 func (t *Table) Find(host, path string) (Route, bool) {
 	found := -1
 	routes := t.routesByHost[strings.ToLower(host)]
@@ -117,7 +118,7 @@
 	return routes[found], true
 }
 
-// FindExact returns the route of a host with just this prefix.
+// FindExact returns the route of the host with exactly this prefix.
 func (t *Table) FindExact(host, prefix string) (Route, bool) {
 	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		if r.Prefix == prefix {
@@ -127,7 +128,8 @@
 	return Route{}, false
 }
 
-// Service picks the service for one request by the route's shares.
+// Service picks a service at random by the weights of the route's shares. Negative
+// weights count as 0; if all are 0 it picks the first.
 func (r *Route) Service(random *rand.Rand) ident.Service {
 	total := 0
 	for _, s := range r.Shares {
@@ -145,7 +147,8 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// RequiresSingleVersion tells whether a route to the service wants texts of one version.
+// RequiresSingleVersion reports whether a route that has the service as its first share
+// requires texts of a single version.
 func (t *Table) RequiresSingleVersion(service ident.Service) bool {
 	for _, routes := range t.routesByHost {
 		for _, r := range routes {
@@ -157,12 +160,12 @@
 	return false
 }
 
-// AcceptsPublicJobs tells whether jobs may be submitted to a host without a key.
+// AcceptsPublicJobs reports whether the host accepts batch jobs without an API key.
 func (t *Table) AcceptsPublicJobs(host string) bool {
 	return slices.ContainsFunc(t.routesByHost[strings.ToLower(host)], func(r Route) bool { return r.Public && r.Kind == Batch })
 }
 
-// Routes returns all routes.
+// Routes returns all routes, in random order by host.
 func (t *Table) Routes() []Route {
 	var all []Route
 	for _, routes := range t.routesByHost {
--- a/kernel/paths/paths_test.go
+++ b/kernel/paths/paths_test.go
@@ -19,7 +19,7 @@
 	for _, c := range cases {
 		route, _ := table.Find(c.host, c.path)
 		if route.Name != c.want {
-			t.Errorf("%s%s goes to %q, want %q", c.host, c.path, route.Name, c.want)
+			t.Errorf("route of %s%s is %q, want %q", c.host, c.path, route.Name, c.want)
 		}
 	}
 }
@@ -32,6 +32,6 @@
 		counts[route.Service(random)]++
 	}
 	if counts["a"] < 850 || counts["b"] < 50 || counts["c"] != 0 {
-		t.Errorf("shares %v, want about 900, 100 and none", counts)
+		t.Errorf("requests per service %v, want about 900, 100 and none", counts)
 	}
 }
--- a/kernel/plug/plug.go
+++ b/kernel/plug/plug.go
@@ -1,5 +1,5 @@
-// Package plug is the registry that maps a name in the settings to an
-// implementation. Implementations register themselves from their own files.
+// Package plug is a registry that maps names in the settings to implementations. Each
+// implementation registers itself from its own file.
 package plug
 
 import (
@@ -13,23 +13,23 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// Unknown means that no implementation has the name.
+// Unknown marks a name without an implementation.
 const Unknown Kind = "Unknown"
 
-// Registry maps names to makers of T. The zero value is ready; entries are
-// guarded by mu.
+// Registry maps names to factories of T. The zero value is ready to use. The mutex mu
+// guards factories.
 type Registry[T any] struct {
 	mu        sync.RWMutex
 	factories map[string]func() T
 }
 
-// Register adds a maker under name. It panics on a repeated name, since that
-// is a mistake in the program.
+// Register adds a factory under name. It panics if the name is taken, which is a
+// programming error.
 func (r *Registry[T]) Register(name string, factory func() T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.factories[name]; ok {
-		panic("plug: registered twice: " + name)
+		panic("plug: duplicate registration of " + name)
 	}
 	if r.factories == nil {
 		r.factories = map[string]func() T{}
@@ -37,7 +37,8 @@
 	r.factories[name] = factory
 }
 
-// New makes the implementation registered under name.
+// New returns a new instance of the implementation registered under name. An unknown
+// name yields an Unknown error that lists the registered ones.
 func (r *Registry[T]) New(name string) (T, error) {
 	r.mu.RLock()
 	factory, ok := r.factories[name]
@@ -51,7 +52,7 @@
 	return factory(), nil
 }
 
-// Names lists the registered names in order.
+// Names returns the registered names in alphabetical order.
 func (r *Registry[T]) Names() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/kernel/steps/bench_test.go
+++ b/kernel/steps/bench_test.go
@@ -7,7 +7,6 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// bigSpec is a step of 4,096 samples.
 func bigSpec() Spec {
 	s := Spec{Trainer: "t", Step: 1, GroupSize: 4, MaxTokens: 1024, StalenessBound: 2}
 	for i := range 1024 {
--- a/kernel/steps/steps_test.go
+++ b/kernel/steps/steps_test.go
@@ -11,7 +11,7 @@
 	"croftmoor.dev/kernel/place"
 )
 
-// CI draws the same histories every time; elsewhere each run draws others.
+// Fixes the seed in CI; local runs draw new histories each time.
 func init() {
 	if os.Getenv("CI") != "" {
 		_ = flag.Set("rapid.seed", "20261202")
@@ -36,8 +36,8 @@
 	return &Sample{ID: "s", Slot: a.Slot, Spans: []Span{{Version: version, Tokens: 5}}}
 }
 
-// trainerModel is a trainer with two owners of the same step, one of them
-// stale: pulls go to either, answers are lost, versions are published.
+// trainerModel is a trainer and two owners of the same step, one of them outdated: pulls
+// go to either, responses are lost, and versions are published.
 type trainerModel struct {
 	owners   []*Tracker
 	attempts [][]Attempt
@@ -64,7 +64,7 @@
 	}
 	i := rapid.IntRange(0, len(m.attempts[o])-1).Draw(t, "attempt")
 	version := ident.Version(rapid.IntRange(1, int(m.version)).Draw(t, "version"))
-	// An attempt may end twice, as when its answer comes late.
+	// An attempt may finish twice, as after a late response.
 	m.owners[o].Fill(m.attempts[o][i], sampleOf(m.attempts[o][i], version))
 }
 
@@ -86,7 +86,7 @@
 		m.received[s.Slot]++
 		m.have.Add(s.Slot)
 		if m.version-s.Oldest() > 1 {
-			t.Fatalf("slot %d is %d versions old", s.Slot, m.version-s.Oldest())
+			t.Fatalf("slot %d was handed over %d versions behind", s.Slot, m.version-s.Oldest())
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	for _, l := range m.owners {
 		missing, running, ready, held := l.Counts()
 		if missing < 0 || running < 0 || ready < 0 || missing+running+ready+held != l.Spec.Slots() {
-			t.Fatalf("the counts don't add up: %d %d %d %d", missing, running, ready, held)
+			t.Fatalf("counts do not add up to the number of slots: missing %d, running %d, ready %d, held %d", missing, running, ready, held)
 		}
 	}
 }
@@ -131,11 +131,11 @@
 		l := New(spec(), Set{}, zeroLength, byLength(t))
 		a, _ := l.Next()
 		if !l.Progress(a, 3, 1) {
-			t.Fatal("given up within the bound")
+			t.Fatal("attempt cancelled within the staleness bound")
 		}
 		l.ObserveVersion(3)
 		if l.Progress(a, 4, 1) || l.Waste.Stale == 0 {
-			t.Fatal("kept beyond the bound")
+			t.Fatal("attempt kept beyond the staleness bound, or its tokens not counted as waste")
 		}
 	})
 	t.Run("what was handed over is not made again until the trainer lacks it", func(t *testing.T) {
@@ -145,11 +145,11 @@
 		l.HandOver(Set{}, 1, 4)
 		l.ObserveVersion(9)
 		if missing := l.Missing(); missing != 3 {
-			t.Fatalf("%d missing: a sample that the trainer may hold is made again", missing)
+			t.Fatalf("%d slots missing, want 3: a sample that the trainer may hold must not be generated again", missing)
 		}
 		l.HandOver(Set{}, 9, 4)
 		if missing := l.Missing(); missing != 4 {
-			t.Fatalf("%d missing: the trainer lacks it, and it is too old", missing)
+			t.Fatalf("%d slots missing, want 4: a stale sample that the trainer lacks must be dropped", missing)
 		}
 	})
 	t.Run("version 0 is a version", func(t *testing.T) {
@@ -157,7 +157,7 @@
 		l.ObserveVersion(2)
 		a, _ := l.Next()
 		if l.Fill(a, sampleOf(a, 0)) {
-			t.Fatal("a sample of unpublished weights was taken as fresh")
+			t.Fatal("a sample of version 0 was accepted beyond the staleness bound")
 		}
 	})
 	t.Run("a next owner gets what is ready and held", func(t *testing.T) {
@@ -173,7 +173,7 @@
 			next.ImportSample(s)
 		}
 		if _, _, r, h := next.Counts(); r != 1 || h != 1 {
-			t.Fatalf("ready %d, held %d", r, h)
+			t.Fatalf("ready %d, held %d, want 1 each", r, h)
 		}
 	})
 }
