--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -76,7 +76,7 @@
 		made.events, made.versions, made.whole = partial.Events, slices.Clone(partial.Versions), partial.Complete
 	}
 	item, err := work.Decode(data)
-	item.Organisation, item.Urgent = c.accept.Organisation, r.urgent(c.accept)
+	item.Organisation, item.Priority = c.accept.Organisation, r.urgent(c.accept)
 	return item, err
 }
 
--- a/croftmoor/work/work.go
+++ b/croftmoor/work/work.go
@@ -38,5 +38,5 @@
 	// Organisation is whose item it is, and Urgent its rank, 0 first; both come from
 	// the job and the configuration when the item runs, and are not kept with it.
 	Organisation ident.Organisation
-	Urgent       int
+	Priority     int
 }
