--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -206,7 +206,7 @@
 // give items and roles to an instance that can't act yet.
 func (l *Ledger) beat(ctx context.Context) {
 	l.beatOnce(ctx)
-	for !l.Current() {
+	for !l.CaughtUp() {
 		if !l.Clock.Sleep(ctx, leastPause) {
 			return
 		}
@@ -300,8 +300,8 @@
 	return l.changed
 }
 
-// Current tells whether the state has been read to its end once.
-func (l *Ledger) Current() bool {
+// CaughtUp tells whether the state has been read to its end once.
+func (l *Ledger) CaughtUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current
