--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -21,8 +21,8 @@
 const Stream ident.Stream = "ledger.0"
 
 const (
-	// beatPeriod is the pause between two signs of life.
-	beatPeriod = 350 * clock.Millis(1)
+	// heartbeatPeriod is the pause between two signs of life.
+	heartbeatPeriod = 350 * clock.Millis(1)
 	// DeadAfter is the silence after which an instance counts as gone and its
 	// roles pass on.
 	DeadAfter = 2500 * clock.Millis(1)
@@ -35,21 +35,21 @@
 	// as lost.
 	readWait    = 500 * clock.Millis(1)
 	readTimeout = 1500 * clock.Millis(1)
-	// leastPause groups records that come one by one. With many instances the
+	// minPause groups records that come one by one. With many instances the
 	// pause grows, so that all of them together use readShare of the reads that
 	// the log serves, and beatShare of the writes for signs of life. Records that
 	// an instance waits for itself end the pause; see Hurry.
-	leastPause = 15 * clock.Millis(1)
-	readShare  = 0.15
-	beatShare  = 0.2
-	quietBeats = 3
-	// freshTerm is how long after a read the state counts as current.
-	freshTerm = 1500 * clock.Millis(1)
-	// keepTerm is how long jobs are remembered; it is longer than anybody may
+	minPause       = 15 * clock.Millis(1)
+	readShare      = 0.15
+	heartbeatShare = 0.2
+	silentPeriods  = 3
+	// maxFreshAge is how long after a read the state counts as current.
+	maxFreshAge = 1500 * clock.Millis(1)
+	// jobRetention is how long jobs are remembered; it is longer than anybody may
 	// ask for one.
-	keepTerm     = 180 * clock.Second
-	forgetPeriod = 5 * clock.Second
-	beatTimeout  = 2 * clock.Second
+	jobRetention     = 180 * clock.Second
+	forgetPeriod     = 5 * clock.Second
+	heartbeatTimeout = 2 * clock.Second
 	// firstOffset is that of the ledger's first record.
 	firstOffset ident.Offset = 1
 )
@@ -75,63 +75,63 @@
 	ReadsPerSecond  int
 	WritesPerSecond int
 
-	// quiet is the silence that is usual with so many instances, in milliseconds;
+	// usualSilence is the silence that is usual with so many instances, in milliseconds;
 	// it has no lock, since it is read by those who hold mu.
-	quiet atomic.Int64
+	usualSilence atomic.Int64
 
 	mu      sync.Mutex
-	book    *jobs.State
+	state   *jobs.State
 	changed chan struct{}
-	hurry   chan struct{}
-	// read is when the log last answered, ended when an answer last reached the
+	readNow chan struct{}
+	// lastResponse is when the log last answered, ended when an answer last reached the
 	// end of the stream: in between, the state is known to be in arrears. Both are of
 	// the answer and not of its receipt (tail.Told).
-	read  clock.Millis
-	ended clock.Millis
-	// steady is since when the log has answered without a gap.
-	steady clock.Millis
-	// gap is when records were last found to be missing that the log had dropped, gapped
+	lastResponse clock.Millis
+	lastCaughtUp clock.Millis
+	// steadySince is since when the log has answered without a gap.
+	steadySince clock.Millis
+	// gapSeenAt is when records were last found to be missing that the log had dropped, gapped
 	// that this has happened.
-	gap     clock.Millis
-	gapped  bool
-	began   bool
-	current bool
-	lost    bool
-	beaten  clock.Millis
-	leaving bool
+	gapSeenAt     clock.Millis
+	gapSeen       bool
+	responded     bool
+	caughtUp      bool
+	unreachable   bool
+	lastHeartbeat clock.Millis
+	leaving       bool
 }
 
 // Setup makes the ledger usable; it is called before Run.
 func (l *Ledger) Setup() {
-	l.book = jobs.NewState()
+	l.state = jobs.NewState()
 	l.changed = make(chan struct{})
-	l.hurry = make(chan struct{}, 1)
+	l.readNow = make(chan struct{}, 1)
 }
 
 // Run follows the ledger and tells that this instance is alive until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	tailer := &tail.Tailer{
-		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, Failed: l.failed,
-		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Hurry: l.hurry,
+		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, Failed: l.readFailed,
+		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Hurry: l.readNow,
 	}
 	var group conc.WaitGroup
 	group.Go(func() { tailer.Run(ctx) })
-	group.Go(func() { l.beat(ctx) })
+	group.Go(func() { l.sendHeartbeats(ctx) })
 	group.Go(func() { l.Clock.Every(ctx, forgetPeriod, l.forget) })
 	group.Wait()
 }
 
 // pause returns the pause between two reads.
 func (l *Ledger) pause() clock.Millis {
-	return max(leastPause, l.each(float64(l.ReadsPerSecond)*readShare))
+	return max(minPause, l.periodPerInstance(float64(l.ReadsPerSecond)*readShare))
 }
 
-// each returns the period at which each instance may act, if all together may
+// periodPerInstance returns the period at which periodPerInstance instance may act, if all together may
 // act so many times a second.
-func (l *Ledger) each(perSecond float64) clock.Millis {
+func (l *Ledger) periodPerInstance(perSecond float64) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	live := l.book.LiveCount(l.Clock.Mono() - DeadAfter)
+	live := l.state.LiveCount(l.Clock.Mono() - DeadAfter)
 	return clock.Millis(float64(live) * float64(clock.Second) / max(perSecond, 1))
 }
 
@@ -139,24 +139,24 @@
 	now := l.Clock.Mono()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.began && now-l.read > freshTerm {
-		l.book.ShiftLastHeard(now - l.read)
+	if l.responded && now-l.lastResponse > maxFreshAge {
+		l.state.ShiftLastHeard(now - l.lastResponse)
 	}
-	if !l.began || now-l.read > freshTerm {
-		l.steady = now
+	if !l.responded || now-l.lastResponse > maxFreshAge {
+		l.steadySince = now
 	}
-	if batch.First > max(l.book.Next, firstOffset) {
-		l.gap, l.gapped = now, true
+	if batch.First > max(l.state.Next, firstOffset) {
+		l.gapSeenAt, l.gapSeen = now, true
 	}
-	l.book.CaughtUp = l.current && now-l.read <= freshTerm
-	told := now
+	l.state.CaughtUp = l.caughtUp && now-l.lastResponse <= maxFreshAge
+	respondedAt := now
 	if batch.Told > 0 {
-		told = min(now, batch.Told)
+		respondedAt = min(now, batch.Told)
 	}
-	l.began = true
-	l.read = told
-	if l.lost {
-		l.lost = false
+	l.responded = true
+	l.lastResponse = respondedAt
+	if l.unreachable {
+		l.unreachable = false
 		l.Log.Info().Str("Dependency", "ledger").Int64("Next", int64(batch.Next)).Msg("regained")
 	}
 	for _, record := range batch.Records {
@@ -166,8 +166,8 @@
 	if n := len(batch.Records); n > 0 {
 		last = batch.Records[n-1].Offset + 1
 	}
-	if max(last, l.book.Next) >= batch.Next {
-		l.current, l.ended = true, told
+	if max(last, l.state.Next) >= batch.Next {
+		l.caughtUp, l.lastCaughtUp = true, respondedAt
 	}
 	if len(batch.Records) > 0 {
 		close(l.changed)
@@ -182,72 +182,72 @@
 		return
 	}
 	if decoded != nil {
-		l.book.Apply(record.Offset, decoded, now)
+		l.state.Apply(record.Offset, decoded, now)
 	}
 }
 
-func (l *Ledger) failed(err error) {
+func (l *Ledger) readFailed(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.lost && l.Clock.Mono()-l.read > freshTerm {
-		l.lost = true
-		l.Log.Warn().Err(err).Str("Dependency", "ledger").Int64("AgeMillis", int64(l.Clock.Mono()-l.read)).Msg("lost")
+	if !l.unreachable && l.Clock.Mono()-l.lastResponse > maxFreshAge {
+		l.unreachable = true
+		l.Log.Warn().Err(err).Str("Dependency", "ledger").Int64("AgeMillis", int64(l.Clock.Mono()-l.lastResponse)).Msg("lost")
 	}
 }
 
 func (l *Ledger) forget() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.book.Forget(l.Clock.Mono() - keepTerm)
+	l.state.Forget(l.Clock.Mono() - jobRetention)
 }
 
-// beat writes signs of life. The first one ends the earlier life of this instance,
+// sendHeartbeats writes signs of life. The first one ends the earlier life of this instance,
 // and takes no work before the state has been read to its end: the others would
 // give items and roles to an instance that can't act yet.
-func (l *Ledger) beat(ctx context.Context) {
-	l.beatOnce(ctx)
+func (l *Ledger) sendHeartbeats(ctx context.Context) {
+	l.sendHeartbeat(ctx)
 	for !l.CaughtUp() {
-		if !l.Clock.Sleep(ctx, leastPause) {
+		if !l.Clock.Sleep(ctx, minPause) {
 			return
 		}
 	}
 	for {
-		l.beatOnce(ctx)
-		period := max(beatPeriod, l.each(float64(l.WritesPerSecond)*beatShare))
-		l.quiet.Store(int64(quietBeats * period))
-		if !l.rest(ctx, period) {
+		l.sendHeartbeat(ctx)
+		period := max(heartbeatPeriod, l.periodPerInstance(float64(l.WritesPerSecond)*heartbeatShare))
+		l.usualSilence.Store(int64(silentPeriods * period))
+		if !l.waitUntilDue(ctx, period) {
 			return
 		}
 	}
 }
 
-func (l *Ledger) beatOnce(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, beatTimeout.Duration())
+func (l *Ledger) sendHeartbeat(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout.Duration())
 	defer cancel()
-	if _, err := l.Append(callCtx, l.sign()); err != nil && ctx.Err() == nil {
+	if _, err := l.Append(callCtx, l.heartbeat()); err != nil && ctx.Err() == nil {
 		l.Log.Warn().Err(err).Msg("sign of life not written")
 	}
 }
 
-// rest waits until no sign of life has been written for a period: other records
+// waitUntilDue waits until no sign of life has been written for a period: other records
 // of this instance are as good as one. It reports false if ctx ended.
-func (l *Ledger) rest(ctx context.Context, period clock.Millis) bool {
+func (l *Ledger) waitUntilDue(ctx context.Context, period clock.Millis) bool {
 	if !l.Clock.Sleep(ctx, period) {
 		return false
 	}
-	for left := period - l.Heard(); left > 0; left = period - l.Heard() {
-		if !l.Clock.Sleep(ctx, left) {
+	for remaining := period - l.Heard(); remaining > 0; remaining = period - l.Heard() {
+		if !l.Clock.Sleep(ctx, remaining) {
 			return false
 		}
 	}
 	return true
 }
 
-// sign returns a sign of life.
-func (l *Ledger) sign() jobs.Heartbeat {
+// heartbeat returns a heartbeat of life.
+func (l *Ledger) heartbeat() jobs.Heartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return jobs.Heartbeat{By: l.Self, Zone: l.Zone, Address: l.Address, Leaving: l.leaving || !l.current}
+	return jobs.Heartbeat{By: l.Self, Zone: l.Zone, Address: l.Address, Leaving: l.leaving || !l.caughtUp}
 }
 
 // Leave tells the others that this instance takes no more work.
@@ -255,23 +255,23 @@
 	l.mu.Lock()
 	l.leaving = true
 	l.mu.Unlock()
-	_, err := l.Append(ctx, l.sign())
+	_, err := l.Append(ctx, l.heartbeat())
 	return err
 }
 
 // Append appends records next to each other. See tail.Writer for its errors.
 func (l *Ledger) Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error) {
 	data := make([][]byte, 0, len(records))
-	signs := false
+	signOfLife := false
 	for _, r := range records {
 		data = append(data, jobs.Encode(r))
-		signs = signs || jobs.IsSignOfLife(r)
+		signOfLife = signOfLife || jobs.IsSignOfLife(r)
 	}
-	began := l.Clock.Mono()
+	sentAt := l.Clock.Mono()
 	offset, err := l.Writer.Write(ctx, Stream, data...)
-	if err == nil && signs {
+	if err == nil && signOfLife {
 		l.mu.Lock()
-		l.beaten = max(l.beaten, began)
+		l.lastHeartbeat = max(l.lastHeartbeat, sentAt)
 		l.mu.Unlock()
 	}
 	return offset, err
@@ -281,16 +281,16 @@
 // known to be there.
 func (l *Ledger) Hurry() {
 	select {
-	case l.hurry <- struct{}{}:
+	case l.readNow <- struct{}{}:
 	default:
 	}
 }
 
 // View calls look with the state, which must not be kept or changed.
-func (l *Ledger) View(look func(*jobs.State)) {
+func (l *Ledger) View(visit func(*jobs.State)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	look(l.book)
+	visit(l.state)
 }
 
 // Changed returns a channel that is closed at the next change of the state.
@@ -304,35 +304,35 @@
 func (l *Ledger) CaughtUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.current
+	return l.caughtUp
 }
 
 // Age returns how long ago the state was last known to be current.
 func (l *Ledger) Age() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.current {
-		return keepTerm
+	if !l.caughtUp {
+		return jobRetention
 	}
-	return l.Clock.Mono() - l.ended
+	return l.Clock.Mono() - l.lastCaughtUp
 }
 
 // Idle returns how long ago the log last answered. It may be called within
 // View.
 func (l *Ledger) Idle() clock.Millis {
-	return l.Clock.Mono() - l.read
+	return l.Clock.Mono() - l.lastResponse
 }
 
 // Steady returns for how long the log has answered without a gap. It may be called
 // within View.
 func (l *Ledger) Steady() clock.Millis {
-	return l.Clock.Mono() - l.steady
+	return l.Clock.Mono() - l.steadySince
 }
 
 // Gap tells whether this copy lacks records that the log had dropped before they were
 // read, and when that was last found. It may be called within View.
 func (l *Ledger) Gap() (at clock.Millis, found bool) {
-	return l.gap, l.gapped
+	return l.gapSeenAt, l.gapSeen
 }
 
 // Away tells that the log does not answer: the state stays as it is. An instance
@@ -340,12 +340,12 @@
 func (l *Ledger) Away() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.current && l.Idle() > freshTerm
+	return l.caughtUp && l.Idle() > maxFreshAge
 }
 
 // Fresh tells whether the state is current enough to act on.
 func (l *Ledger) Fresh() bool {
-	return l.Age() <= freshTerm
+	return l.Age() <= maxFreshAge
 }
 
 // Heard returns how long ago this instance's own last acknowledged sign of life
@@ -353,7 +353,7 @@
 func (l *Ledger) Heard() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.Clock.Mono() - l.beaten
+	return l.Clock.Mono() - l.lastHeartbeat
 }
 
 // Since returns the time since which a member must have been heard to count as
@@ -365,7 +365,7 @@
 // QuietSince returns the time since which the owner of an item must have been
 // heard. With many instances signs of life come less often.
 func (l *Ledger) QuietSince() clock.Millis {
-	return l.Clock.Mono() - max(QuietAfter, clock.Millis(l.quiet.Load()))
+	return l.Clock.Mono() - max(QuietAfter, clock.Millis(l.usualSilence.Load()))
 }
 
 // Await waits until the record before next has been folded.
--- a/croftmoor/ledger/ledger_test.go
+++ b/croftmoor/ledger/ledger_test.go
@@ -15,35 +15,35 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// signWriter takes signs of life.
-type signWriter struct {
-	mu    sync.Mutex
-	signs []jobs.Heartbeat
+// heartbeatWriter takes signs of life.
+type heartbeatWriter struct {
+	mu         sync.Mutex
+	heartbeats []jobs.Heartbeat
 }
 
-func (w *signWriter) Write(_ context.Context, _ ident.Stream, records ...[]byte) (ident.Offset, error) {
+func (w *heartbeatWriter) Write(_ context.Context, _ ident.Stream, records ...[]byte) (ident.Offset, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, data := range records {
 		record, err := jobs.Decode(data)
-		if sign, ok := record.(jobs.Heartbeat); ok && err == nil {
-			w.signs = append(w.signs, sign)
+		if heartbeat, ok := record.(jobs.Heartbeat); ok && err == nil {
+			w.heartbeats = append(w.heartbeats, heartbeat)
 		}
 	}
 	return 0, nil
 }
 
-func (w *signWriter) assertLast(t *testing.T, count int, leaving bool) {
+func (w *heartbeatWriter) assertLast(t *testing.T, count int, leaving bool) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.signs) != count || w.signs[count-1].Leaving != leaving {
-		t.Errorf("signs %+v, want %d, the last with Leaving %v", w.signs, count, leaving)
+	if len(w.heartbeats) != count || w.heartbeats[count-1].Leaving != leaving {
+		t.Errorf("signs %+v, want %d, the last with Leaving %v", w.heartbeats, count, leaving)
 	}
 }
 
 func newLedger() *Ledger {
-	l := &Ledger{Self: "a~1", Clock: clock.New(), Log: zerolog.Nop(), Writer: &signWriter{}, ReadsPerSecond: 100, WritesPerSecond: 100}
+	l := &Ledger{Self: "a~1", Clock: clock.New(), Log: zerolog.Nop(), Writer: &heartbeatWriter{}, ReadsPerSecond: 100, WritesPerSecond: 100}
 	l.Setup()
 	return l
 }
@@ -75,30 +75,30 @@
 		assertState(t, l, true, false)
 	})
 	t.Run("answers that stay behind the end let it age", func(t *testing.T) {
-		time.Sleep(freshTerm.Duration() + 100*time.Millisecond)
+		time.Sleep(maxFreshAge.Duration() + 100*time.Millisecond)
 		l.apply(batch(5, 900, jobs.Heartbeat{By: "b~1"}))
 		assertState(t, l, false, false)
 	})
 	t.Run("silence is the log being away", func(t *testing.T) {
-		time.Sleep(freshTerm.Duration() + 100*time.Millisecond)
+		time.Sleep(maxFreshAge.Duration() + 100*time.Millisecond)
 		assertState(t, l, false, true)
 	})
 }
 
 func TestNoWorkBeforeTheStateIsCurrent(t *testing.T) {
 	l := newLedger()
-	writer := &signWriter{}
+	writer := &heartbeatWriter{}
 	l.Writer = writer
 	ctx, stop := context.WithCancel(t.Context())
 	var group conc.WaitGroup
-	group.Go(func() { l.beat(ctx) })
+	group.Go(func() { l.sendHeartbeats(ctx) })
 	defer group.Wait()
 	defer stop()
 	l.apply(batch(1, 5, jobs.Heartbeat{By: "b~1"}))
-	time.Sleep(5 * leastPause.Duration())
+	time.Sleep(5 * minPause.Duration())
 	writer.assertLast(t, 1, true)
 	l.apply(batch(2, 3, jobs.Heartbeat{By: "b~1"}))
-	time.Sleep(5 * leastPause.Duration())
+	time.Sleep(5 * minPause.Duration())
 	writer.assertLast(t, 2, false)
 }
 
