--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -1,6 +1,5 @@
-// Package ledger keeps this instance's copy of the state that all instances
-// share: it follows the ledger's stream, folds it, tells who is alive, and
-// appends records.
+// Package ledger maintains this instance's copy of the state that all instances share:
+// it reads the ledger's stream, folds its records, appends records, and sends heartbeats.
 package ledger
 
 import (
@@ -17,40 +16,41 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// Stream is the ledger's stream.
+// Stream is the name of the ledger's stream.
 const Stream ident.Stream = "ledger.0"
 
 const (
-	// heartbeatPeriod is the pause between two signs of life.
+	// heartbeatPeriod is the shortest pause between two heartbeats.
 	heartbeatPeriod = 350 * clock.Millis(1)
-	// DeadAfter is the silence after which an instance counts as gone and its
-	// roles pass on.
+	// DeadAfter is the silence after which an instance counts as dead and others take over
+	// its roles.
 	DeadAfter = 2500 * clock.Millis(1)
-	// QuietAfter is the silence after which the items of an instance may be
-	// claimed by others: three signs of life are late. A wrong guess costs a
-	// second run, a late one the time of a step.
+	// QuietAfter is the shortest silence after which other instances may claim the items of
+	// an instance: three heartbeats are overdue. A shorter time repeats runs of live
+	// instances, a longer one delays the step.
 	QuietAfter = 1200 * clock.Millis(1)
-	// readWait is how long a read waits for a record, so that an answer tells at
-	// least so often that the state is current; readTimeout is when one counts
-	// as lost.
+	// readWait is how long a read waits for new records, and so the longest time between
+	// two responses. readTimeout is when a read without a response has failed.
 	readWait    = 500 * clock.Millis(1)
 	readTimeout = 1500 * clock.Millis(1)
-	// minPause groups records that come one by one. With many instances the
-	// pause grows, so that all of them together use readShare of the reads that
-	// the log serves, and beatShare of the writes for signs of life. Records that
-	// an instance waits for itself end the pause; see Hurry.
+	// minPause is the shortest pause between two reads, which batches records that arrive
+	// one by one. The pause grows with the number of instances: together they may use
+	// readShare of the reads per second that the log serves, and heartbeatShare of the
+	// writes. Hurry ends the pause early.
 	minPause       = 15 * clock.Millis(1)
 	readShare      = 0.15
 	heartbeatShare = 0.2
-	silentPeriods  = 3
-	// maxFreshAge is how long after a read the state counts as current.
+	// silentPeriods is the number of heartbeat periods that others wait before they claim an
+	// instance's items.
+	silentPeriods = 3
+	// maxFreshAge is the greatest age at which the state still counts as fresh.
 	maxFreshAge = 1500 * clock.Millis(1)
-	// jobRetention is how long jobs are remembered; it is longer than anybody may
-	// ask for one.
+	// jobRetention is how long jobs are kept. It exceeds the time for which callers may ask
+	// for a job.
 	jobRetention     = 180 * clock.Second
 	forgetPeriod     = 5 * clock.Second
 	heartbeatTimeout = 2 * clock.Second
-	// firstOffset is that of the ledger's first record.
+	// firstOffset is the offset of the ledger's first record.
 	firstOffset ident.Offset = 1
 )
 
@@ -59,39 +59,40 @@
 	Write(ctx context.Context, stream ident.Stream, records ...[]byte) (ident.Offset, error)
 }
 
-// Ledger is this instance's copy. Set the exported fields before Run. The state
-// is guarded by mu.
+// Ledger is this instance's copy of the shared state. Set the exported fields and call
+// Setup before Run. The mutex mu guards the fields below it.
 type Ledger struct {
 	Self ident.InstanceName
 	Zone ident.Zone
-	// Address takes other instances' calls.
+	// Address accepts calls from other instances.
 	Address ident.Address
 	Clock   *clock.Clock
 	Log     zerolog.Logger
 	Reader  tail.Reader
 	Writer  Writer
-	// ReadsPerSecond and WritesPerSecond are what the log serves to all
-	// instances together.
+	// ReadsPerSecond and WritesPerSecond are the rates that the log serves to all instances
+	// together.
 	ReadsPerSecond  int
 	WritesPerSecond int
 
-	// usualSilence is the silence that is usual with so many instances, in milliseconds;
-	// it has no lock, since it is read by those who hold mu.
-	usualSilence atomic.Int64
+	// silenceLimit is silentPeriods heartbeat periods, in milliseconds, at the current number
+	// of instances. It is atomic because callers of QuietSince may hold mu.
+	silenceLimit atomic.Int64
 
 	mu      sync.Mutex
 	state   *jobs.State
 	changed chan struct{}
 	readNow chan struct{}
-	// lastResponse is when the log last answered, ended when an answer last reached the
-	// end of the stream: in between, the state is known to be in arrears. Both are of
-	// the answer and not of its receipt (tail.Told).
+	// lastResponse is the time of the log's last response, lastCaughtUp that of the last
+	// response that reached the end of the stream. In between, the state is known to lag.
+	// Both are times at which the log responded, not at which the response was processed.
 	lastResponse clock.Millis
 	lastCaughtUp clock.Millis
-	// steadySince is since when the log has answered without a gap.
+	// steadySince is the start of the current period without a pause of more than
+	// maxFreshAge between responses.
 	steadySince clock.Millis
-	// gapSeenAt is when records were last found to be missing that the log had dropped, gapped
-	// that this has happened.
+	// gapSeenAt is when records were last found missing because the log had dropped them
+	// before they were read; it is valid if gapSeen is set.
 	gapSeenAt     clock.Millis
 	gapSeen       bool
 	responded     bool
@@ -101,14 +102,14 @@
 	leaving       bool
 }
 
-// Setup makes the ledger usable; it is called before Run.
+// Setup initialises the ledger. Call it before Run.
 func (l *Ledger) Setup() {
 	l.state = jobs.NewState()
 	l.changed = make(chan struct{})
 	l.readNow = make(chan struct{}, 1)
 }
 
-// Run follows the ledger and tells that this instance is alive until ctx ends.
+// Run follows the ledger's stream and sends heartbeats until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	tailer := &tail.Tailer{
 		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, Failed: l.readFailed,
@@ -126,8 +127,8 @@
 	return max(minPause, l.periodPerInstance(float64(l.ReadsPerSecond)*readShare))
 }
 
-// periodPerInstance returns the period at which periodPerInstance instance may act, if all together may
-// act so many times a second.
+// periodPerInstance returns the period at which each instance may act if all live
+// instances together may act perSecond times a second.
 func (l *Ledger) periodPerInstance(perSecond float64) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -201,9 +202,9 @@
 	l.state.Forget(l.Clock.Mono() - jobRetention)
 }
 
-// sendHeartbeats writes signs of life. The first one ends the earlier life of this instance,
-// and takes no work before the state has been read to its end: the others would
-// give items and roles to an instance that can't act yet.
+// sendHeartbeats sends heartbeats until ctx ends. The first one supersedes the earlier
+// run of this instance. Until the state has caught up, heartbeats report Leaving, so
+// that other instances assign no items or roles to an instance that cannot act yet.
 func (l *Ledger) sendHeartbeats(ctx context.Context) {
 	l.sendHeartbeat(ctx)
 	for !l.CaughtUp() {
@@ -214,7 +215,7 @@
 	for {
 		l.sendHeartbeat(ctx)
 		period := max(heartbeatPeriod, l.periodPerInstance(float64(l.WritesPerSecond)*heartbeatShare))
-		l.usualSilence.Store(int64(silentPeriods * period))
+		l.silenceLimit.Store(int64(silentPeriods * period))
 		if !l.waitUntilDue(ctx, period) {
 			return
 		}
@@ -225,12 +226,12 @@
 	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout.Duration())
 	defer cancel()
 	if _, err := l.Append(callCtx, l.heartbeat()); err != nil && ctx.Err() == nil {
-		l.Log.Warn().Err(err).Msg("sign of life not written")
+		l.Log.Warn().Err(err).Msg("heartbeat not written")
 	}
 }
 
-// waitUntilDue waits until no sign of life has been written for a period: other records
-// of this instance are as good as one. It reports false if ctx ended.
+// waitUntilDue waits until this instance has written no sign of life for a period; other
+// records count as signs of life too. It returns false if ctx ended.
 func (l *Ledger) waitUntilDue(ctx context.Context, period clock.Millis) bool {
 	if !l.Clock.Sleep(ctx, period) {
 		return false
@@ -243,14 +244,13 @@
 	return true
 }
 
-// heartbeat returns a heartbeat of life.
 func (l *Ledger) heartbeat() jobs.Heartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return jobs.Heartbeat{By: l.Self, Zone: l.Zone, Address: l.Address, Leaving: l.leaving || !l.caughtUp}
 }
 
-// Leave tells the others that this instance takes no more work.
+// Leave announces to other instances that this one accepts no more work.
 func (l *Ledger) Leave(ctx context.Context) error {
 	l.mu.Lock()
 	l.leaving = true
@@ -259,7 +259,8 @@
 	return err
 }
 
-// Append appends records next to each other. See tail.Writer for its errors.
+// Append writes records at consecutive offsets. See tail.Writer for the returned offset
+// and the errors.
 func (l *Ledger) Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error) {
 	data := make([][]byte, 0, len(records))
 	signOfLife := false
@@ -277,8 +278,8 @@
 	return offset, err
 }
 
-// Hurry has the log read at once, because something waits for records that are
-// known to be there.
+// Hurry ends the pause before the next read, for callers that wait for records that are
+// known to be in the log. It does not block.
 func (l *Ledger) Hurry() {
 	select {
 	case l.readNow <- struct{}{}:
@@ -286,28 +287,30 @@
 	}
 }
 
-// View calls look with the state, which must not be kept or changed.
+// View calls visit with the state while holding the lock. The state must not be retained
+// or modified.
 func (l *Ledger) View(visit func(*jobs.State)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	visit(l.state)
 }
 
-// Changed returns a channel that is closed at the next change of the state.
+// Changed returns a channel that is closed when the next records are folded.
 func (l *Ledger) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// CaughtUp tells whether the state has been read to its end once.
+// CaughtUp reports whether the state has ever been read to the end of the stream.
 func (l *Ledger) CaughtUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.caughtUp
 }
 
-// Age returns how long ago the state was last known to be current.
+// Age returns the time since the state was last known to be at the end of the stream, or
+// jobRetention if it never was.
 func (l *Ledger) Age() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -317,58 +320,57 @@
 	return l.Clock.Mono() - l.lastCaughtUp
 }
 
-// Idle returns how long ago the log last answered. It may be called within
-// View.
+// Idle returns the time since the log's last response. The caller must hold the lock, as
+// within View.
 func (l *Ledger) Idle() clock.Millis {
 	return l.Clock.Mono() - l.lastResponse
 }
 
-// Steady returns for how long the log has answered without a gap. It may be called
-// within View.
+// Steady returns how long the log has responded without a pause of more than
+// maxFreshAge. The caller must hold the lock, as within View.
 func (l *Ledger) Steady() clock.Millis {
 	return l.Clock.Mono() - l.steadySince
 }
 
-// Gap tells whether this copy lacks records that the log had dropped before they were
-// read, and when that was last found. It may be called within View.
+// Gap reports whether this copy lacks records that the log dropped before they were
+// read, and when that was last found. The caller must hold the lock, as within View.
 func (l *Ledger) Gap() (at clock.Millis, found bool) {
 	return l.gapSeenAt, l.gapSeen
 }
 
-// Away tells that the log does not answer: the state stays as it is. An instance
-// that is in arrears is not away, its state is about to change.
+// Away reports whether the log has stopped responding, so that the state cannot change.
+// An instance that has not caught up yet is not away.
 func (l *Ledger) Away() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.caughtUp && l.Idle() > maxFreshAge
 }
 
-// Fresh tells whether the state is current enough to act on.
+// Fresh reports whether the state is recent enough to act on.
 func (l *Ledger) Fresh() bool {
 	return l.Age() <= maxFreshAge
 }
 
-// Heard returns how long ago this instance's own last acknowledged sign of life
-// was sent.
+// Heard returns the time since this instance sent its last acknowledged sign of life.
 func (l *Ledger) Heard() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Clock.Mono() - l.lastHeartbeat
 }
 
-// Since returns the time since which a member must have been heard to count as
+// Since returns the earliest time of a last sign of life at which a member counts as
 // alive.
 func (l *Ledger) Since() clock.Millis {
 	return l.Clock.Mono() - DeadAfter
 }
 
-// QuietSince returns the time since which the owner of an item must have been
-// heard. With many instances signs of life come less often.
+// QuietSince returns the earliest time of a last sign of life at which the owner of an
+// item keeps it. With many instances, heartbeats are less frequent and the time is earlier.
 func (l *Ledger) QuietSince() clock.Millis {
-	return l.Clock.Mono() - max(QuietAfter, clock.Millis(l.usualSilence.Load()))
+	return l.Clock.Mono() - max(QuietAfter, clock.Millis(l.silenceLimit.Load()))
 }
 
-// Await waits until the record before next has been folded.
+// Await waits until all records before the offset next have been folded, or ctx ends.
 func (l *Ledger) Await(ctx context.Context, next ident.Offset) error {
 	for {
 		changed := l.Changed()
--- a/croftmoor/ledger/ledger_test.go
+++ b/croftmoor/ledger/ledger_test.go
@@ -15,7 +15,7 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// heartbeatWriter takes signs of life.
+// heartbeatWriter records the heartbeats written to it.
 type heartbeatWriter struct {
 	mu         sync.Mutex
 	heartbeats []jobs.Heartbeat
@@ -38,7 +38,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.heartbeats) != count || w.heartbeats[count-1].Leaving != leaving {
-		t.Errorf("signs %+v, want %d, the last with Leaving %v", w.heartbeats, count, leaving)
+		t.Errorf("heartbeats %+v, want %d, the last with Leaving %v", w.heartbeats, count, leaving)
 	}
 }
 
@@ -48,7 +48,7 @@
 	return l
 }
 
-// batch returns records from offset on, of a stream that ends at next.
+// batch returns records from the offset from on, of a stream that ends at next.
 func batch(from, next ident.Offset, records ...jobs.Record) tail.Batch {
 	b := tail.Batch{First: 1, Next: next}
 	for i, r := range records {
@@ -102,9 +102,8 @@
 	writer.assertLast(t, 2, false)
 }
 
-// An instance froze for 5.7 s while a read waited, and took the answer that had come in its
-// first half second for news when it woke: it answered 404 for a job that the others had
-// accepted meanwhile. The state is as old as the answer, whenever that is received.
+// Guards against counting a response as news when it is processed late: the state is as
+// old as the response, for instance after the process was suspended.
 func TestAnswerThatWaited(t *testing.T) {
 	l := newLedger()
 	l.Clock = clock.NewManual(clock.Minute)
@@ -116,7 +115,7 @@
 	late.Told = tail.Told(asked, l.Clock.Mono(), readWait)
 	l.apply(late)
 	if l.Fresh() {
-		t.Errorf("an answer that waited for 5.7 s made the state current; age %d ms", l.Age())
+		t.Errorf("a response processed 5.7 s late made the state fresh; age %d ms", l.Age())
 	}
 	asked = l.Clock.Mono()
 	l.Clock.Advance(4)
--- a/croftmoor/work/codec.go
+++ b/croftmoor/work/codec.go
@@ -10,8 +10,8 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// itemPack is an item as it is kept: an array, to which fields may only be
-// added at the end.
+// itemPack is the stored form of an item: a msgpack array. New fields may only be
+// appended.
 type itemPack struct {
 	ID      string
 	Group   string
@@ -35,7 +35,7 @@
 	Body []byte
 }
 
-// Encode returns an item's bytes.
+// Encode returns the stored form of an item.
 func Encode(item Item) ([]byte, error) {
 	pack := itemPack{
 		ID: string(item.ID), Group: string(item.Group), Expect: int32(item.Expect),
@@ -52,16 +52,16 @@
 	encoder.UseArrayEncodedStructs(true)
 	encoder.UseCompactInts(true)
 	if err := encoder.Encode(&pack); err != nil {
-		return nil, fault.Wrap("work.Encode", Corrupt, err, "item "+string(item.ID))
+		return nil, fault.Wrap("work.Encode", Corrupt, err, "cannot encode item "+string(item.ID))
 	}
 	return out.Bytes(), nil
 }
 
-// Decode reads what Encode wrote.
+// Decode parses what Encode returned.
 func Decode(data []byte) (Item, error) {
 	var pack itemPack
 	if err := msgpack.Unmarshal(data, &pack); err != nil {
-		return Item{}, fault.Wrap("work.Decode", Corrupt, err, "the kept item is unreadable")
+		return Item{}, fault.Wrap("work.Decode", Corrupt, err, "cannot decode stored item")
 	}
 	item := Item{
 		ID: ident.Item(pack.ID), Group: ident.Group(pack.Group), Expect: ident.Tokens(pack.Expect),
--- a/croftmoor/work/work.go
+++ b/croftmoor/work/work.go
@@ -1,4 +1,4 @@
-// Package work is what batch jobs consist of, and how an item is kept.
+// Package work defines the items of batch jobs and their stored form.
 package work
 
 import (
@@ -10,13 +10,13 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// Corrupt means that an item can't be kept, or that a kept one is unreadable.
+// Corrupt marks an item that could not be encoded or decoded.
 const Corrupt Kind = "Corrupt"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Reward is the call that scores a text.
+// Reward is the HTTP call that scores a text.
 type Reward struct {
 	ID   ident.RequestID
 	Host string
@@ -24,7 +24,7 @@
 	Body []byte
 }
 
-// Item is what runs at an engine, and how its text is scored.
+// Item is the request that runs on an engine, and the call that scores its text.
 type Item struct {
 	ID      ident.Item
 	Group   ident.Group
@@ -33,10 +33,10 @@
 	Path    string
 	Headers []httpc.Header
 	Body    []byte
-	// Reward is nil if texts are not scored.
+	// Reward is nil if the text is not scored.
 	Reward *Reward
-	// Organisation is whose item it is, and Urgent its rank, 0 first; both come from
-	// the job and the configuration when the item runs, and are not kept with it.
+	// Organisation owns the item. Priority is its rank; 0 comes first. Both come from the
+	// job and the configuration when the item runs, and are not stored with it.
 	Organisation ident.Organisation
 	Priority     int
 }
