--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -179,7 +179,7 @@
 	c := made.claim
 	kind := fault.KindOf[EngineKind](err)
 	reason := string(kind) + ": " + err.Error()
-	yield := jobs.Yield{Failed: kind == Failed, Speed: meter.speed(c.item.Engine)}
+	yield := jobs.Yield{Failed: kind == Failed, Timing: meter.speed(c.item.Engine)}
 	if ctx.Err() != nil {
 		r.giveBack(ctx, made, yield, "stopped")
 		return
@@ -191,7 +191,7 @@
 	pause := 0
 	switch {
 	case kind == Impossible, kind == Failed && len(c.item.FailedEngines)+1 >= attempts:
-		r.finish(ctx, c, jobs.Finish{State: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedEngines)+1, attempts, reason))
+		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedEngines)+1, attempts, reason))
 		return
 	case kind == Busy:
 		pause = avoidBusy
@@ -257,7 +257,7 @@
 	both.Go(func() { score, scoreErr = r.score(ctx, c, item) })
 	both.Wait()
 	if fault.KindOf[RewardKind](scoreErr) == RewardFailed {
-		r.finish(ctx, c, jobs.Finish{State: jobs.Terminated}, scoreErr.Error())
+		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, scoreErr.Error())
 		return
 	}
 	if fault.KindOf[RewardKind](scoreErr) == RewardHeld {
@@ -270,7 +270,7 @@
 	}
 	speed := meter.speed(c.item.Engine)
 	r.finish(ctx, c, jobs.Finish{
-		State: jobs.Completed, Versions: made.versions, Score: score, Texts: kept.Texts, Events: made.events, Speed: speed,
+		Outcome: jobs.Completed, Versions: made.versions, Score: score, Texts: kept.Texts, Events: made.events, Timing: speed,
 	}, fmt.Sprintf("%d events in %d ms, %d in all, the first after %d ms, kept and scored in %d ms",
 		speed.Events, meter.last-meter.first, made.events, meter.waited(), r.Clock.Mono()-began))
 }
@@ -326,7 +326,7 @@
 	if err != nil {
 		reason += "; not listed: " + err.Error()
 	}
-	r.note(c, trail.Hand, string(f.State), fmt.Sprintf("%s, offset %d", reason, offset))
+	r.note(c, trail.Hand, string(f.Outcome), fmt.Sprintf("%s, offset %d", reason, offset))
 	if err != nil {
 		return
 	}
--- a/croftmoor/batch/race_test.go
+++ b/croftmoor/batch/race_test.go
@@ -123,7 +123,7 @@
 			switch {
 			case item.Done:
 			case item.Claim != 0 && s.random.IntN(2) == 0:
-				s.write(jobs.Finish{Job: id, By: item.Owner, Index: i, State: jobs.Completed})
+				s.write(jobs.Finish{Job: id, By: item.Owner, Index: i, Outcome: jobs.Completed})
 				left++
 			default:
 				left++
--- a/croftmoor/intake/intake.go
+++ b/croftmoor/intake/intake.go
@@ -308,7 +308,7 @@
 		}
 		size += len(text)
 		r := results[n]
-		page.Results = append(page.Results, Listed{ID: r.id, State: r.State, Text: text, Versions: r.Versions, Score: r.Score})
+		page.Results = append(page.Results, Listed{ID: r.id, State: r.Outcome, Text: text, Versions: r.Versions, Score: r.Score})
 		page.Next++
 	}
 	return page, nil
--- a/croftmoor/intake/intake_test.go
+++ b/croftmoor/intake/intake_test.go
@@ -115,7 +115,7 @@
 	book := jobs.NewState()
 	book.Apply(1, jobs.Accept{Job: "j", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
 	book.Apply(2, jobs.Claim{Job: "j", By: "me", Targets: []jobs.Target{{Index: 0}}}, 0)
-	book.Apply(3, jobs.Finish{Job: "j", By: "me", Index: 0, State: jobs.Completed, Texts: []jobs.Span{{Stream: "texts.0", First: 7, Count: 1}}}, 0)
+	book.Apply(3, jobs.Finish{Job: "j", By: "me", Index: 0, Outcome: jobs.Completed, Texts: []jobs.Span{{Stream: "texts.0", First: 7, Count: 1}}}, 0)
 	left, leave := context.WithCancel(t.Context())
 	leave()
 	cases := []struct {
--- a/croftmoor/intake/page_test.go
+++ b/croftmoor/intake/page_test.go
@@ -106,7 +106,7 @@
 		for n := range items {
 			apply(jobs.Claim{Job: job, By: "me", Targets: []jobs.Target{{Index: n}}})
 			text := jobs.Span{Stream: ident.Stream(fmt.Sprintf("texts.%d", k)), First: ident.Offset(1 + n*(strangers+1)), Count: 1}
-			apply(jobs.Finish{Job: job, By: "me", Index: n, State: jobs.Completed, Texts: []jobs.Span{text}})
+			apply(jobs.Finish{Job: job, By: "me", Index: n, Outcome: jobs.Completed, Texts: []jobs.Span{text}})
 		}
 		apply(jobs.End{Job: job})
 	}
--- a/kernel/jobs/codec.go
+++ b/kernel/jobs/codec.go
@@ -164,19 +164,19 @@
 	w.int(int64(y.Index))
 	w.partial(y.Partial)
 	w.flag(y.Failed)
-	w.speed(y.Speed)
+	w.timing(y.Timing)
 }
 
 func (w *writer) finish(f Finish) {
 	w.text(string(f.Job))
 	w.text(string(f.By))
 	w.int(int64(f.Index))
-	w.text(string(f.State))
+	w.text(string(f.Outcome))
 	w.versions(f.Versions)
 	w.text(f.Score)
 	w.spans(f.Texts)
 	w.int(int64(f.Events))
-	w.speed(f.Speed)
+	w.timing(f.Timing)
 }
 
 func (w *writer) savePartial(k SavePartial) {
@@ -200,7 +200,7 @@
 	w.flag(p.Complete)
 }
 
-func (w *writer) speed(s Timing) {
+func (w *writer) timing(s Timing) {
 	w.text(string(s.Engine))
 	w.int(int64(s.Events))
 	w.int(int64(s.Millis))
@@ -284,7 +284,7 @@
 	return Partial{Texts: r.spans(), Events: int(r.int()), Versions: r.versions(), Complete: r.flag()}
 }
 
-func (r *reader) speed() Timing {
+func (r *reader) timing() Timing {
 	return Timing{Engine: ident.BackendName(r.text()), Events: int(r.int()), Millis: int(r.int())}
 }
 
@@ -315,12 +315,12 @@
 	case yieldKind:
 		return Yield{
 			Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()),
-			Partial: r.partial(), Failed: r.flag(), Speed: r.speed(),
+			Partial: r.partial(), Failed: r.flag(), Timing: r.timing(),
 		}
 	case finishKind:
 		return Finish{
-			Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), State: Outcome(r.text()),
-			Versions: r.versions(), Score: r.text(), Texts: r.spans(), Events: int(r.int()), Speed: r.speed(),
+			Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Outcome: Outcome(r.text()),
+			Versions: r.versions(), Score: r.text(), Texts: r.spans(), Events: int(r.int()), Timing: r.timing(),
 		}
 	case endKind:
 		return End{Job: ident.Job(r.text())}
--- a/kernel/jobs/jobs_test.go
+++ b/kernel/jobs/jobs_test.go
@@ -43,9 +43,9 @@
 		accept("j", 2, "a", "b"),
 		Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 1, Replaces: 4}}},
 		Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 2}}, Dealer: "d"},
-		Yield{Job: "j", By: "i", Index: 1, Partial: partial, Failed: true, Speed: speed},
+		Yield{Job: "j", By: "i", Index: 1, Partial: partial, Failed: true, Timing: speed},
 		SavePartial{Job: "j", By: "i", Index: 1, Partial: partial},
-		Finish{Job: "j", By: "i", Index: 1, State: Completed, Versions: []ident.Version{3}, Score: "s", Texts: partial.Texts, Events: 7, Speed: speed},
+		Finish{Job: "j", By: "i", Index: 1, Outcome: Completed, Versions: []ident.Version{3}, Score: "s", Texts: partial.Texts, Events: 7, Timing: speed},
 		End{Job: "j"}, Heartbeat{By: "i", Zone: "z", Leaving: true, Address: "1.2.3.4:5"},
 		Hold{Role: "r", By: "i", Replaces: 5}, LoadOrder{Role: "r", Fence: 5, Engine: "e", Model: "m", Version: 6},
 		Loaded{Engine: "e", Model: "m", Version: 6}, Avoid{By: "i", Engine: "e", Millis: 7}, Defer{Job: "j", By: "i", Index: 2, Millis: 7},
@@ -118,7 +118,7 @@
 	}
 	before := b.FailureRates["e"]
 	b.Apply(9, claimOf("j", "x", 1, 0), 0)
-	b.Apply(10, Finish{Job: "j", By: "x", Index: 1, State: Completed}, 0)
+	b.Apply(10, Finish{Job: "j", By: "x", Index: 1, Outcome: Completed}, 0)
 	if b.FailureRates["e"] >= before {
 		t.Errorf("failure rate stayed at %v after a completed item", b.FailureRates["e"])
 	}
@@ -207,7 +207,7 @@
 }
 
 func (m *ledgerModel) finish(t *rapid.T) {
-	m.write(Finish{Job: m.job(t), By: m.name(t), Index: m.index(t), State: Completed, Score: rapid.String().Draw(t, "score")})
+	m.write(Finish{Job: m.job(t), By: m.name(t), Index: m.index(t), Outcome: Completed, Score: rapid.String().Draw(t, "score")})
 }
 
 func (m *ledgerModel) yield(t *rapid.T) {
--- a/kernel/jobs/member.go
+++ b/kernel/jobs/member.go
@@ -98,11 +98,11 @@
 const staleOrderAge = 60 * clock.Second
 
 func (s *State) loadOrder(o LoadOrder, now clock.Millis) {
-	holding := s.RoleHolders[o.Role]
-	if holding.Fence != o.Fence {
+	holder := s.RoleHolders[o.Role]
+	if holder.Fence != o.Fence {
 		return
 	}
-	s.LastOrders[o.Engine.ListName()] = LastOrder{By: holding.By, Fence: o.Fence, SeenAt: now}
+	s.LastOrders[o.Engine.ListName()] = LastOrder{By: holder.By, Fence: o.Fence, SeenAt: now}
 	key := EngineModel{Engine: o.Engine, Model: o.Model}
 	w := s.Weights[key]
 	w.Ordered, w.OrderSeenAt = o.Version, now
--- a/kernel/jobs/record.go
+++ b/kernel/jobs/record.go
@@ -89,7 +89,7 @@
 	Partial Partial
 	// Failed reports whether the engine failed the item.
 	Failed bool
-	Speed  Timing
+	Timing Timing
 }
 
 // SavePartial stores the text generated so far, so that it survives a failure of the
@@ -138,12 +138,12 @@
 
 // Fits reports whether a job that accepts tokens of version least and newer, of only one
 // version if single is set, may reuse the text. An empty text does not fit.
-func (p Partial) Fits(least ident.Version, single bool) bool {
-	if p.Events == 0 || (single && len(p.Versions) > 1) {
+func (p Partial) Fits(minVersion ident.Version, singleVersion bool) bool {
+	if p.Events == 0 || (singleVersion && len(p.Versions) > 1) {
 		return false
 	}
 	for _, v := range p.Versions {
-		if v < least {
+		if v < minVersion {
 			return false
 		}
 	}
@@ -164,13 +164,13 @@
 	Job      ident.Job
 	By       ident.InstanceName
 	Index    int
-	State    Outcome
+	Outcome  Outcome
 	Versions []ident.Version
 	Score    string
 	Texts    []Span
 	// Events is the length of the whole text.
 	Events int
-	Speed  Timing
+	Timing Timing
 }
 
 // End closes a job: none of its items needs to run any more.
--- a/kernel/jobs/state.go
+++ b/kernel/jobs/state.go
@@ -301,7 +301,7 @@
 
 func (s *State) yield(y Yield, now clock.Millis) {
 	s.markHeard(y.By, now)
-	s.updatePace(y.Speed)
+	s.updatePace(y.Timing)
 	job, item := s.unfinishedItem(y.Job, y.Index)
 	if item == nil {
 		return
@@ -342,19 +342,19 @@
 
 func (s *State) finish(f Finish, now clock.Millis) {
 	s.markHeard(f.By, now)
-	s.updatePace(f.Speed)
+	s.updatePace(f.Timing)
 	job, item := s.unfinishedItem(f.Job, f.Index)
 	if item == nil {
 		return
 	}
-	if item.Claim != 0 && f.State == Completed {
+	if item.Claim != 0 && f.Outcome == Completed {
 		s.updateFailureRate(item.Engine, 0)
 	}
 	s.release(job, f.Index)
 	job.Waiting--
 	item.Done = true
 	item.Partial = Partial{}
-	if f.State == Completed {
+	if f.Outcome == Completed {
 		item.Partial = Partial{Texts: f.Texts, Events: f.Events, Versions: f.Versions, Complete: true}
 	}
 	job.Results = append(job.Results, Result{Index: f.Index, Finish: f})
--- a/kernel/steps/steps.go
+++ b/kernel/steps/steps.go
@@ -116,18 +116,18 @@
 // New returns a tracker in which the slots of have are held by the trainer. The policy
 // orders the slots by the length that expectedTokens predicts for their prompts.
 func New(spec Spec, have Set, expectedTokens func(prompt string) ident.Tokens, policy place.Policy) *Tracker {
-	l := &Tracker{Spec: spec, slots: make([]slotState, spec.Slots())}
-	order := make([]place.Slot, len(l.slots))
-	for i := range l.slots {
+	t := &Tracker{Spec: spec, slots: make([]slotState, spec.Slots())}
+	order := make([]place.Slot, len(t.slots))
+	for i := range t.slots {
 		order[i] = place.Slot{Index: ident.Slot(i), Expect: expectedTokens(spec.Prompt(ident.Slot(i)))}
 	}
-	l.missing = len(l.slots)
+	t.missing = len(t.slots)
 	slices.SortFunc(order, policy.Compare)
 	for _, slot := range order {
-		l.startOrder = append(l.startOrder, slot.Index)
+		t.startOrder = append(t.startOrder, slot.Index)
 	}
-	l.markHeld(have)
-	return l
+	t.markHeld(have)
+	return t
 }
 
 // Counts returns the number of missing, running, ready and held slots.
