--- a/kernel/jobs/record.go
+++ b/kernel/jobs/record.go
@@ -110,15 +110,15 @@
 }
 
 // Avoid reports an engine that failed to do its work: no instance assigns it items for
-// the given milliseconds.
+// Millis milliseconds.
 type Avoid struct {
 	By     ident.InstanceName
 	Engine ident.BackendName
 	Millis int
 }
 
-// Defer blocks an item on all engines for the given milliseconds, because engines went
-// down while running it.
+// Defer blocks an item on all engines for Millis milliseconds, because engines went down
+// while running it.
 type Defer struct {
 	Job    ident.Job
 	By     ident.InstanceName
@@ -136,8 +136,9 @@
 	Complete bool
 }
 
-// Fits reports whether a job that accepts tokens of version least and newer, of only one
-// version if single is set, may reuse the text. An empty text does not fit.
+// Fits reports whether a job that accepts tokens of minVersion and newer may reuse the
+// text; with singleVersion, one version must have generated all of it. An empty text does
+// not fit.
 func (p Partial) Fits(minVersion ident.Version, singleVersion bool) bool {
 	if p.Events == 0 || (singleVersion && len(p.Versions) > 1) {
 		return false
--- a/kernel/jobs/state.go
+++ b/kernel/jobs/state.go
@@ -130,9 +130,11 @@
 // State is the state folded from the ledger's records. It has no lock of its own.
 // Records must be applied in the order of their offsets.
 type State struct {
-	Jobs        map[ident.Job]*Job
-	JobOrder    []ident.Job
-	Members     map[ident.InstanceName]*Member
+	Jobs map[ident.Job]*Job
+	// JobOrder lists the jobs in the order of their acceptance.
+	JobOrder []ident.Job
+	Members  map[ident.InstanceName]*Member
+	// RoleHolders maps a role to its current holder.
 	RoleHolders map[string]RoleHolder
 	Weights     map[EngineModel]Weights
 	// LastOrders holds the last load order to each engine, by the engine's ListName: a
@@ -152,7 +154,8 @@
 	LatestJob map[ident.Item]ident.Job
 	// Usage holds the request counts of each accounting window.
 	Usage map[ident.Window]*WindowUsage
-	Next  ident.Offset
+	// Next is the offset after the last applied record.
+	Next ident.Offset
 }
 
 // NewState returns an empty state.
--- a/kernel/jobs/usage.go
+++ b/kernel/jobs/usage.go
@@ -23,8 +23,8 @@
 // maxWindows is the number of windows that are kept: five minutes of windows of 5 s.
 const maxWindows = 60
 
-// window returns the state of a window, creating it if needed, and drops the oldest
-// windows beyond maxWindows.
+// window returns the state of a window, creating it if needed. Beyond maxWindows it drops
+// the oldest windows, but not w.
 func (s *State) window(w ident.Window) *WindowUsage {
 	if s.Usage[w] == nil {
 		s.Usage[w] = &WindowUsage{Counts: map[ident.Organisation]int64{}}
--- a/kernel/paths/paths.go
+++ b/kernel/paths/paths.go
@@ -34,7 +34,7 @@
 	Weight  int
 }
 
-// Route is one route.
+// Route maps the requests of a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
--- a/kernel/steps/steps.go
+++ b/kernel/steps/steps.go
@@ -91,7 +91,9 @@
 	Prompt string
 }
 
-// Waste counts the generated tokens that no trainer received.
+// Waste counts the generated tokens that no trainer received: of samples and attempts
+// that became too stale, of failed attempts, and of attempts that finished after they
+// became obsolete.
 type Waste struct {
 	Stale  ident.Tokens
 	Failed ident.Tokens
