--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -190,8 +190,8 @@
 	}
 	pause := 0
 	switch {
-	case kind == Impossible, kind == Failed && len(c.item.FailedEngines)+1 >= attempts:
-		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedEngines)+1, attempts, reason))
+	case kind == Impossible, kind == Failed && len(c.item.FailedOn)+1 >= attempts:
+		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedOn)+1, attempts, reason))
 		return
 	case kind == Busy:
 		pause = avoidBusy
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -130,7 +130,7 @@
 				Patient: s.patient(job, item), Not: s.not(item),
 			})
 		}
-		s.pieces = append(s.pieces, deal.Order(job.Job, waits, job.WantedGroups, job.GroupLengths, job.ResubmittedGroups)...)
+		s.pieces = append(s.pieces, deal.Order(job.Job, waits, job.WantedGroups, job.GroupLengths, job.CarriedOverGroups)...)
 	}
 }
 
@@ -139,7 +139,7 @@
 	if !s.without.On(toggle.Avoidance) {
 		return nil
 	}
-	return item.FailedEngines
+	return item.FailedOn
 }
 
 const (
--- a/kernel/jobs/jobs_test.go
+++ b/kernel/jobs/jobs_test.go
@@ -113,8 +113,8 @@
 
 func TestFaults(t *testing.T) {
 	b := fold(accept("j", 1, "a", "b"), claimOf("j", "x", 0, 0), Yield{Job: "j", By: "x", Failed: true})
-	if got := b.Jobs["j"].Items[0].FailedEngines; len(got) != 1 || got[0] != "e" || b.FailureRates["e"] == 0 {
-		t.Errorf("failed engines %v, failure rate %v, want e once", got, b.FailureRates["e"])
+	if got := b.Jobs["j"].Items[0].FailedOn; len(got) != 1 || got[0] != "e" || b.FailureRates["e"] == 0 {
+		t.Errorf("failed on %v, failure rate %v, want e once", got, b.FailureRates["e"])
 	}
 	before := b.FailureRates["e"]
 	b.Apply(9, claimOf("j", "x", 1, 0), 0)
@@ -135,8 +135,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := fold(accept("j", 1, "a"), SavePartial{Job: "j", Partial: kept}, End{Job: "j"}, accept("k", c.least, "a"))
 			item := b.Jobs["k"].Items[0]
-			if !item.Resubmitted || item.Partial.Events != c.want {
-				t.Errorf("resubmitted %v with %d events, want %d", item.Resubmitted, item.Partial.Events, c.want)
+			if !item.CarriedOver || item.Partial.Events != c.want {
+				t.Errorf("carried over %v with %d events, want %d", item.CarriedOver, item.Partial.Events, c.want)
 			}
 		})
 	}
--- a/kernel/jobs/state.go
+++ b/kernel/jobs/state.go
@@ -16,11 +16,11 @@
 	Done bool
 	// Partial is the longest saved prefix of the text, or the whole text.
 	Partial Partial
-	// Resubmitted reports whether an earlier job contained the item. The trainer is
+	// CarriedOver reports whether an earlier job contained the item. The trainer is
 	// already waiting for such an item.
-	Resubmitted bool
-	// FailedEngines lists the engines that failed the item, one entry per failure.
-	FailedEngines []ident.BackendName
+	CarriedOver bool
+	// FailedOn lists the engines that failed the item, one entry per failure.
+	FailedOn []ident.BackendName
 	// Yields counts how often the item was released without a result.
 	Yields int
 	// DeferredUntil is the time on this reader's clock before which no engine gets the
@@ -49,8 +49,8 @@
 	Waiting int
 	// GroupLengths is the expected length of each group: that of its longest item.
 	GroupLengths map[ident.Group]ident.Tokens
-	// ResubmittedGroups are the groups with at least one resubmitted item.
-	ResubmittedGroups map[ident.Group]bool
+	// CarriedOverGroups are the groups with at least one carried-over item.
+	CarriedOverGroups map[ident.Group]bool
 	Ended             bool
 	// SeenAt is when this reader read the Accept record.
 	SeenAt clock.Millis
@@ -210,13 +210,13 @@
 	}
 	job := &Job{
 		Accept: a, SeenAt: now, FromBacklog: !s.CaughtUp, Items: make([]Item, len(a.Items)), Waiting: len(a.Items),
-		GroupLengths: map[ident.Group]ident.Tokens{}, ResubmittedGroups: map[ident.Group]bool{},
+		GroupLengths: map[ident.Group]ident.Tokens{}, CarriedOverGroups: map[ident.Group]bool{},
 	}
 	for i, spec := range a.Items {
 		job.Items[i] = s.newItem(a, spec)
 		job.GroupLengths[spec.Group] = max(job.GroupLengths[spec.Group], spec.Expect)
-		if job.Items[i].Resubmitted {
-			job.ResubmittedGroups[spec.Group] = true
+		if job.Items[i].CarriedOver {
+			job.CarriedOverGroups[spec.Group] = true
 		}
 		s.LatestJob[spec.ID] = a.Job
 	}
@@ -233,7 +233,7 @@
 	if earlier == nil {
 		return item
 	}
-	item.Resubmitted = true
+	item.CarriedOver = true
 	for _, old := range earlier.Items {
 		if old.ID == spec.ID && old.Partial.Fits(a.MinVersion, a.SingleVersion) {
 			item.Partial = old.Partial
@@ -312,7 +312,7 @@
 	item.updatePartial(y.Partial)
 	if item.Owner == y.By {
 		if y.Failed {
-			item.FailedEngines = append(item.FailedEngines, item.Engine)
+			item.FailedOn = append(item.FailedOn, item.Engine)
 			s.updateFailureRate(item.Engine, 1)
 		}
 		s.release(job, y.Index)
