--- a/croftmoor/batch/race_test.go
+++ b/croftmoor/batch/race_test.go
@@ -40,7 +40,7 @@
 		r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 		r.Clock = s.clock
 		r.Ledger.View(func(b *jobs.State) {
-			b.CaughtUp = true
+			b.UpToDate = true
 			s.books = append(s.books, b)
 		})
 		s.runners = append(s.runners, r)
--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -149,7 +149,7 @@
 	if batch.First > max(l.state.Next, firstOffset) {
 		l.gapSeenAt, l.gapSeen = now, true
 	}
-	l.state.CaughtUp = l.caughtUp && now-l.lastResponse <= maxFreshAge
+	l.state.UpToDate = l.caughtUp && now-l.lastResponse <= maxFreshAge
 	respondedAt := now
 	if batch.Told > 0 {
 		respondedAt = min(now, batch.Told)
--- a/kernel/jobs/engine.go
+++ b/kernel/jobs/engine.go
@@ -36,7 +36,7 @@
 // ignored, since their duration is over or nearly so.
 func (s *State) avoid(a Avoid, now clock.Millis) {
 	s.markHeard(a.By, now)
-	if s.CaughtUp {
+	if s.UpToDate {
 		s.AvoidedUntil[a.Engine] = max(s.AvoidedUntil[a.Engine], now+clock.Millis(a.Millis))
 	}
 }
--- a/kernel/jobs/jobs_test.go
+++ b/kernel/jobs/jobs_test.go
@@ -317,7 +317,7 @@
 func TestReadInArrears(t *testing.T) {
 	for _, current := range []bool{true, false} {
 		b := NewState()
-		b.CaughtUp = current
+		b.UpToDate = current
 		const now = 100 * clock.Second
 		b.Apply(1, Hold{Role: "r", By: "i"}, now)
 		b.Apply(2, LoadOrder{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2}, now)
--- a/kernel/jobs/member.go
+++ b/kernel/jobs/member.go
@@ -106,7 +106,7 @@
 	key := EngineModel{Engine: o.Engine, Model: o.Model}
 	w := s.Weights[key]
 	w.Ordered, w.OrderSeenAt = o.Version, now
-	if !s.CaughtUp {
+	if !s.UpToDate {
 		w.OrderSeenAt = now - staleOrderAge
 	}
 	s.Weights[key] = w
--- a/kernel/jobs/state.go
+++ b/kernel/jobs/state.go
@@ -148,8 +148,8 @@
 	FailureRates map[ident.BackendName]float64
 	// AvoidedUntil is the time on this reader's clock before which an engine gets no items.
 	AvoidedUntil map[ident.BackendName]clock.Millis
-	// CaughtUp is set while records are read as they are written, not from the backlog.
-	CaughtUp bool
+	// UpToDate is set while records are read as they are written, not from the backlog.
+	UpToDate bool
 	// LatestJob maps an item to the newest job that contains it.
 	LatestJob map[ident.Item]ident.Job
 	// Usage holds the request counts of each accounting window.
@@ -209,7 +209,7 @@
 		return
 	}
 	job := &Job{
-		Accept: a, SeenAt: now, FromBacklog: !s.CaughtUp, Items: make([]Item, len(a.Items)), Waiting: len(a.Items),
+		Accept: a, SeenAt: now, FromBacklog: !s.UpToDate, Items: make([]Item, len(a.Items)), Waiting: len(a.Items),
 		GroupLengths: map[ident.Group]ident.Tokens{}, CarriedOverGroups: map[ident.Group]bool{},
 	}
 	for i, spec := range a.Items {
@@ -324,7 +324,7 @@
 // backlog are ignored, since their duration is over or nearly so.
 func (s *State) defers(d Defer, now clock.Millis) {
 	s.markHeard(d.By, now)
-	if _, item := s.unfinishedItem(d.Job, d.Index); item != nil && s.CaughtUp {
+	if _, item := s.unfinishedItem(d.Job, d.Index); item != nil && s.UpToDate {
 		item.DeferredUntil = max(item.DeferredUntil, now+clock.Millis(d.Millis))
 	}
 }
