--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -50,7 +50,7 @@
 		return
 	}
 	meter := &meter{clock: r.Clock, began: r.Clock.Mono()}
-	r.Ledger.View(func(b *jobs.Book) { meter.look(beside(b, c.item)) })
+	r.Ledger.View(func(b *jobs.State) { meter.look(beside(b, c.item)) })
 	if !made.whole {
 		if err := r.generate(ctx, item, made, meter); err != nil {
 			r.noteEnd(ctx, item, made, err)
@@ -71,12 +71,12 @@
 	if err != nil {
 		return work.Item{}, err
 	}
-	if partial := c.item.Partial; partial.Fits(c.accept.Least, c.accept.Single) {
+	if partial := c.item.Partial; partial.Fits(c.accept.MinVersion, c.accept.SingleVersion) {
 		made.kept = partial
-		made.events, made.versions, made.whole = partial.Events, slices.Clone(partial.Versions), partial.Whole
+		made.events, made.versions, made.whole = partial.Events, slices.Clone(partial.Versions), partial.Complete
 	}
 	item, err := work.Decode(data)
-	item.Organisation, item.Urgent = c.accept.Organisation, r.urgent(c.accept)
+	item.Organisation, item.Priority = c.accept.Organisation, r.urgent(c.accept)
 	return item, err
 }
 
@@ -86,8 +86,8 @@
 	if table == nil {
 		return 0
 	}
-	route, _ := table.Exact(accept.Host, accept.Prefix)
-	return table.Organisations.Urgent(accept.Organisation, route.Urgent)
+	route, _ := table.FindExact(accept.Host, accept.Prefix)
+	return table.Organisations.Urgent(accept.Organisation, route.Priority)
 }
 
 // generate has an engine make the rest of the text.
@@ -142,7 +142,7 @@
 		slots = table.Services[c.accept.Service].Slots
 	}
 	running := 0
-	r.Ledger.View(func(b *jobs.Book) { running = b.Loads[c.item.Engine].Items })
+	r.Ledger.View(func(b *jobs.State) { running = b.Loads[c.item.Engine].Items })
 	if running > slots {
 		return queuedTerm
 	}
@@ -155,10 +155,10 @@
 	if event.Index != made.events+1 {
 		return fault.New("batch.generate", Broken, fmt.Sprintf("event %d after %d", event.Index, made.events))
 	}
-	if event.Version < accept.Least {
-		return fault.New("batch.generate", NotRun, fmt.Sprintf("the engine has version %d, the job takes %d", event.Version, accept.Least))
+	if event.Version < accept.MinVersion {
+		return fault.New("batch.generate", NotRun, fmt.Sprintf("the engine has version %d, the job takes %d", event.Version, accept.MinVersion))
 	}
-	if accept.Single && made.events > 0 && !slices.Contains(made.versions, event.Version) {
+	if accept.SingleVersion && made.events > 0 && !slices.Contains(made.versions, event.Version) {
 		return fault.New("batch.generate", Broken, "a second version in a text that takes one")
 	}
 	return nil
@@ -179,19 +179,19 @@
 	c := made.claim
 	kind := fault.KindOf[EngineKind](err)
 	reason := string(kind) + ": " + err.Error()
-	yield := jobs.Yield{Failed: kind == Failed, Speed: meter.speed(c.item.Engine)}
+	yield := jobs.Yield{Failed: kind == Failed, Timing: meter.speed(c.item.Engine)}
 	if ctx.Err() != nil {
 		r.giveBack(ctx, made, yield, "stopped")
 		return
 	}
 	attempts := 1
-	if route, ok := r.Routes().Exact(c.accept.Host, c.accept.Prefix); ok {
-		attempts = max(route.Attempts, 1)
+	if route, ok := r.Routes().FindExact(c.accept.Host, c.accept.Prefix); ok {
+		attempts = max(route.MaxAttempts, 1)
 	}
 	pause := 0
 	switch {
-	case kind == Impossible, kind == Failed && len(c.item.FailedAt)+1 >= attempts:
-		r.finish(ctx, c, jobs.Finish{State: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedAt)+1, attempts, reason))
+	case kind == Impossible, kind == Failed && len(c.item.FailedOn)+1 >= attempts:
+		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedOn)+1, attempts, reason))
 		return
 	case kind == Busy:
 		pause = avoidBusy
@@ -257,7 +257,7 @@
 	both.Go(func() { score, scoreErr = r.score(ctx, c, item) })
 	both.Wait()
 	if fault.KindOf[RewardKind](scoreErr) == RewardFailed {
-		r.finish(ctx, c, jobs.Finish{State: jobs.Terminated}, scoreErr.Error())
+		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, scoreErr.Error())
 		return
 	}
 	if fault.KindOf[RewardKind](scoreErr) == RewardHeld {
@@ -270,7 +270,7 @@
 	}
 	speed := meter.speed(c.item.Engine)
 	r.finish(ctx, c, jobs.Finish{
-		State: jobs.Completed, Versions: made.versions, Score: score, Texts: kept.Texts, Events: made.events, Speed: speed,
+		Outcome: jobs.Completed, Versions: made.versions, Score: score, Texts: kept.Texts, Events: made.events, Timing: speed,
 	}, fmt.Sprintf("%d events in %d ms, %d in all, the first after %d ms, kept and scored in %d ms",
 		speed.Events, meter.last-meter.first, made.events, meter.waited(), r.Clock.Mono()-began))
 }
@@ -310,7 +310,7 @@
 // wanted tells whether an item may still be listed, as far as is known here.
 func (r *Runner) wanted(key jobs.ItemKey) bool {
 	wanted := false
-	r.Ledger.View(func(b *jobs.Book) {
+	r.Ledger.View(func(b *jobs.State) {
 		job := b.Jobs[key.Job]
 		wanted = job != nil && !job.Ended && !job.Items[key.Index].Done
 	})
@@ -326,7 +326,7 @@
 	if err != nil {
 		reason += "; not listed: " + err.Error()
 	}
-	r.note(c, trail.Hand, string(f.State), fmt.Sprintf("%s, offset %d", reason, offset))
+	r.note(c, trail.Hand, string(f.Outcome), fmt.Sprintf("%s, offset %d", reason, offset))
 	if err != nil {
 		return
 	}
--- a/croftmoor/batch/progress.go
+++ b/croftmoor/batch/progress.go
@@ -57,7 +57,7 @@
 func (p *progress) part() (text []byte, next jobs.Partial) {
 	text = []byte(strings.Join(p.fresh, "\n"))
 	p.fresh = nil
-	return text, jobs.Partial{Events: p.events, Versions: slices.Clone(p.versions), Whole: p.whole}
+	return text, jobs.Partial{Events: p.events, Versions: slices.Clone(p.versions), Complete: p.whole}
 }
 
 // keepSome keeps the progress in the background now and then, so that another
@@ -74,7 +74,7 @@
 	p.group.Go(func() {
 		err := p.append(ctx, text, next)
 		if err == nil {
-			_, err = p.runner.Ledger.Append(ctx, jobs.Keep{Job: p.claim.key.Job, By: p.runner.Self, Index: p.claim.key.Index, Partial: p.partial()})
+			_, err = p.runner.Ledger.Append(ctx, jobs.SavePartial{Job: p.claim.key.Job, By: p.runner.Self, Index: p.claim.key.Index, Partial: p.partial()})
 		}
 		if err != nil && ctx.Err() == nil {
 			p.runner.Trail.Add(trail.Decision{ID: string(p.claim.item.ID), Action: trail.Hold, Choice: "progress not kept", Reason: err.Error()})
@@ -118,6 +118,6 @@
 		err = p.append(ctx, text, next)
 	}
 	kept := p.partial()
-	kept.Whole = p.whole && err == nil
+	kept.Complete = p.whole && err == nil
 	return kept, err
 }
--- a/croftmoor/batch/race_test.go
+++ b/croftmoor/batch/race_test.go
@@ -21,7 +21,7 @@
 	random  *rand.Rand
 	log     []jobs.Record
 	runners []*Runner
-	books   []*jobs.Book
+	books   []*jobs.State
 	read    []int
 	// silent are instances that neither read nor write any more.
 	silent map[int]bool
@@ -39,8 +39,8 @@
 		r := crowd(instances, engines, 0)
 		r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 		r.Clock = s.clock
-		r.Ledger.View(func(b *jobs.Book) {
-			b.Current = true
+		r.Ledger.View(func(b *jobs.State) {
+			b.UpToDate = true
 			s.books = append(s.books, b)
 		})
 		s.runners = append(s.runners, r)
@@ -106,7 +106,7 @@
 func (s *scene) accept(id ident.Job, items int) {
 	a := jobs.Accept{Job: id, Host: "h", Prefix: "/p/", Service: "models", Model: "m"}
 	for i := range items {
-		a.Items = append(a.Items, jobs.Plan{ID: ident.Item(fmt.Sprintf("%s-%d", id, i)), Group: ident.Group(fmt.Sprintf("g-%d", i/8)), Expect: ident.Tokens(50 + i)})
+		a.Items = append(a.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("%s-%d", id, i)), Group: ident.Group(fmt.Sprintf("g-%d", i/8)), Expect: ident.Tokens(50 + i)})
 	}
 	s.write(a)
 }
@@ -116,14 +116,14 @@
 func (s *scene) finish() int {
 	left := 0
 	book := s.books[0]
-	for _, id := range book.Order {
+	for _, id := range book.JobOrder {
 		job := book.Jobs[id]
 		for i := range job.Items {
 			item := &job.Items[i]
 			switch {
 			case item.Done:
 			case item.Claim != 0 && s.random.IntN(2) == 0:
-				s.write(jobs.Finish{Job: id, By: item.Owner, Index: i, State: jobs.Completed})
+				s.write(jobs.Finish{Job: id, By: item.Owner, Index: i, Outcome: jobs.Completed})
 				left++
 			default:
 				left++
@@ -218,7 +218,7 @@
 		gone := dealer(s)
 		s.silent[gone] = true
 		for _, b := range s.books {
-			b.Members[s.runners[gone].Self].Over = true
+			b.Members[s.runners[gone].Self].Superseded = true
 		}
 		s.play(8)
 		s.wantClaims(items, 1.05)
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -16,7 +16,7 @@
 // survey is what a deal is made from, taken from one state of the ledger. It is
 // valid only while that state is viewed.
 type survey struct {
-	book    *jobs.Book
+	book    *jobs.State
 	pieces  []deal.Piece
 	added   bool
 	engines []deal.Engine
@@ -53,13 +53,13 @@
 		return true
 	}
 	version, ready := s.versions[jobs.EngineModel{Engine: engine, Model: accept.Model}]
-	return ready && version >= accept.Least
+	return ready && version >= accept.MinVersion
 }
 
 // survey looks at the jobs that have items to share out and the engines that may
 // get them; instances that were not heard since the given time count as gone. It
 // returns nil if nothing waits; mu is held.
-func (r *Runner) survey(b *jobs.Book, table *paths.Table, since clock.Millis) *survey {
+func (r *Runner) survey(b *jobs.State, table *paths.Table, since clock.Millis) *survey {
 	s := &survey{
 		book: b, versions: map[jobs.EngineModel]ident.Version{}, services: map[ident.BackendName]ident.Service{},
 		accepts: map[ident.Job]jobs.Accept{}, silent: silentOwners(b, since), due: map[ident.Job]clock.Millis{}, now: r.Clock.Mono(),
@@ -71,9 +71,9 @@
 	}
 	for _, job := range open {
 		accept := job.Accept
-		if route, ok := table.Exact(accept.Host, accept.Prefix); ok {
+		if route, ok := table.FindExact(accept.Host, accept.Prefix); ok {
 			accept.Service = route.Shares[0].Service
-			s.due[job.Job] = route.Due
+			s.due[job.Job] = route.JobDeadline
 		}
 		s.accepts[job.Job] = accept
 	}
@@ -83,7 +83,7 @@
 }
 
 // silentOwners returns the owners of claims that count as gone.
-func silentOwners(b *jobs.Book, since clock.Millis) map[ident.InstanceName]bool {
+func silentOwners(b *jobs.State, since clock.Millis) map[ident.InstanceName]bool {
 	silent := map[ident.InstanceName]bool{}
 	for owner := range b.Claims {
 		if !b.Alive(owner, since) {
@@ -102,7 +102,7 @@
 		}
 	}
 	var open []*jobs.Job
-	for _, id := range s.book.Order {
+	for _, id := range s.book.JobOrder {
 		if job := s.book.Jobs[id]; job.Open() && (job.Waiting > 0 || left[id]) {
 			open = append(open, job)
 		}
@@ -122,7 +122,7 @@
 		var waits []deal.Wait
 		for n := range job.Items {
 			item := &job.Items[n]
-			if item.Done || (item.Claim != 0 && !s.silent[item.Owner]) || s.now < item.Deferred {
+			if item.Done || (item.Claim != 0 && !s.silent[item.Owner]) || s.now < item.DeferredUntil {
 				continue
 			}
 			waits = append(waits, deal.Wait{
@@ -130,7 +130,7 @@
 				Patient: s.patient(job, item), Not: s.not(item),
 			})
 		}
-		s.pieces = append(s.pieces, deal.Order(job.Job, waits, job.Wanted, job.Longest, job.Brought)...)
+		s.pieces = append(s.pieces, deal.Order(job.Job, waits, job.WantedGroups, job.GroupLengths, job.CarriedOverGroups)...)
 	}
 }
 
@@ -139,7 +139,7 @@
 	if !s.without.On(toggle.Avoidance) {
 		return nil
 	}
-	return item.FailedAt
+	return item.FailedOn
 }
 
 const (
@@ -155,12 +155,12 @@
 // starts later, and if it takes longer than expected.
 func (s *survey) patient(job *jobs.Job, item *jobs.Item) bool {
 	due := s.due[job.Job]
-	if due == 0 || job.Backlog || !s.without.On(toggle.Patience) {
+	if due == 0 || job.FromBacklog || !s.without.On(toggle.Patience) {
 		return false
 	}
 	events := float64(item.Expect) / eventTokens
 	term := clock.Millis(estimateError * events * s.median)
-	return s.now+term+spareTerm < job.Seen+due
+	return s.now+term+spareTerm < job.SeenAt+due
 }
 
 // room tells whether an engine of those that are meant can take an item, over its
@@ -193,13 +193,13 @@
 		settings := table.Services[service]
 		for _, m := range r.Fleet.View().Backends[service] {
 			name := ident.BackendName(m.Name)
-			if m.State == fleet.Leaving || s.actor[name] == "" || (now < s.book.Avoided[name] && r.Without.On(toggle.Avoidance)) || r.Fleet.MarkedLeaving(m.Name) {
+			if m.State == fleet.Leaving || s.actor[name] == "" || (now < s.book.AvoidedUntil[name] && r.Without.On(toggle.Avoidance)) || r.Fleet.MarkedLeaving(m.Name) {
 				continue
 			}
 			s.services[name] = service
 			s.engines = append(s.engines, deal.Engine{
-				Name: name, Slots: cmp.Or(m.Slots, settings.Slots, 1), Load: s.book.Loads[name], PerEvent: s.book.Paces[name].PerEvent,
-				Faults: s.book.Faults[name],
+				Name: name, Slots: cmp.Or(m.Slots, settings.Slots, 1), Load: s.book.Loads[name], PerEvent: s.book.Paces[name].MillisPerEvent,
+				Faults: s.book.FailureRates[name],
 			})
 			for _, model := range settings.Models {
 				if version, ready := Version(s.book, m, model, now); ready {
@@ -213,10 +213,10 @@
 
 // Version returns the version of a model that an engine has, and whether it is
 // not just loading another one.
-func Version(b *jobs.Book, m fleet.Member, model ident.Model, now clock.Millis) (ident.Version, bool) {
+func Version(b *jobs.State, m fleet.Member, model ident.Model, now clock.Millis) (ident.Version, bool) {
 	key := jobs.EngineModel{Engine: ident.BackendName(m.Name), Model: model}
-	version := b.Has(key, m.Versions[model])
+	version := b.LoadedVersion(key, m.Versions[model])
 	w := b.Weights[key]
-	loading := w.Ordered > version && now-w.OrderSeen < loadTerm
+	loading := w.Ordered > version && now-w.OrderSeenAt < loadTerm
 	return version, !loading
 }
--- a/croftmoor/lease/lease_test.go
+++ b/croftmoor/lease/lease_test.go
@@ -20,17 +20,17 @@
 // oneLedger applies what is appended at once, and knows how long ago this
 // instance's own sign of life was acknowledged.
 type oneLedger struct {
-	book    *jobs.Book
+	book    *jobs.State
 	clock   *clock.Clock
 	silence clock.Millis
 	since   clock.Millis
 }
 
 func newOne(c *clock.Clock, names ...ident.InstanceName) *oneLedger {
-	l := &oneLedger{book: jobs.NewBook(), clock: c}
+	l := &oneLedger{book: jobs.NewState(), clock: c}
 	l.book.Next = 1
 	for _, name := range names {
-		l.write(jobs.Beat{By: name, Zone: "z"})
+		l.write(jobs.Heartbeat{By: name, Zone: "z"})
 	}
 	return l
 }
@@ -39,7 +39,7 @@
 	l.book.Apply(l.book.Next, r, l.clock.Mono())
 }
 
-func (l *oneLedger) View(look func(*jobs.Book)) { look(l.book) }
+func (l *oneLedger) View(look func(*jobs.State)) { look(l.book) }
 
 func (l *oneLedger) Append(_ context.Context, records ...jobs.Record) (ident.Offset, error) {
 	first := l.book.Next
@@ -79,12 +79,12 @@
 	// Only the last in turn does anything.
 	l := &Lease{Role: role, Self: last, Ledger: book, Clock: c, Trail: noDecisions{}}
 	wantHeld(t, l, false)
-	if by := book.book.Holds[role].By; by != "" {
+	if by := book.book.RoleHolders[role].By; by != "" {
 		t.Fatalf("%s took the role before its turn", by)
 	}
 	c.Advance(2 * turnTerm)
 	wantHeld(t, l, false)
-	if by := book.book.Holds[role].By; by != last {
+	if by := book.book.RoleHolders[role].By; by != last {
 		t.Errorf("held by %q, want %s", by, last)
 	}
 	wantHeld(t, l, true)
@@ -130,8 +130,8 @@
 			c := clock.NewManual(clock.Second)
 			book := newOne(c, "a~1")
 			book.write(jobs.Hold{Role: role, By: "a~1"})
-			book.write(jobs.Beat{By: "a~1", Zone: "z", Leaving: true})
-			book.write(jobs.Beat{By: tc.self, Zone: "z"})
+			book.write(jobs.Heartbeat{By: "a~1", Zone: "z", Leaving: true})
+			book.write(jobs.Heartbeat{By: tc.self, Zone: "z"})
 			l := &Lease{Role: role, Self: tc.self, Ledger: book, Clock: c, Trail: noDecisions{}, Term: term}
 			wantHeld(t, l, false)
 			c.Advance(max(tc.wait-1, 0))
--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -1,6 +1,5 @@
-// Package ledger keeps this instance's copy of the state that all instances
-// share: it follows the ledger's stream, folds it, tells who is alive, and
-// appends records.
+// Package ledger maintains this instance's copy of the state that all instances share:
+// it reads the ledger's stream, folds its records, appends records, and sends heartbeats.
 package ledger
 
 import (
@@ -17,40 +16,41 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// Stream is the ledger's stream.
+// Stream is the name of the ledger's stream.
 const Stream ident.Stream = "ledger.0"
 
 const (
-	// beatPeriod is the pause between two signs of life.
-	beatPeriod = 350 * clock.Millis(1)
-	// DeadAfter is the silence after which an instance counts as gone and its
-	// roles pass on.
+	// heartbeatPeriod is the shortest pause between two heartbeats.
+	heartbeatPeriod = 350 * clock.Millis(1)
+	// DeadAfter is the silence after which an instance counts as dead and others take over
+	// its roles.
 	DeadAfter = 2500 * clock.Millis(1)
-	// QuietAfter is the silence after which the items of an instance may be
-	// claimed by others: three signs of life are late. A wrong guess costs a
-	// second run, a late one the time of a step.
+	// QuietAfter is the shortest silence after which other instances may claim the items of
+	// an instance: three heartbeats are overdue. A shorter time repeats runs of live
+	// instances, a longer one delays the step.
 	QuietAfter = 1200 * clock.Millis(1)
-	// readWait is how long a read waits for a record, so that an answer tells at
-	// least so often that the state is current; readTimeout is when one counts
-	// as lost.
+	// readWait is how long a read waits for new records, and so the longest time between
+	// two responses. readTimeout is when a read without a response has failed.
 	readWait    = 500 * clock.Millis(1)
 	readTimeout = 1500 * clock.Millis(1)
-	// leastPause groups records that come one by one. With many instances the
-	// pause grows, so that all of them together use readShare of the reads that
-	// the log serves, and beatShare of the writes for signs of life. Records that
-	// an instance waits for itself end the pause; see Hurry.
-	leastPause = 15 * clock.Millis(1)
-	readShare  = 0.15
-	beatShare  = 0.2
-	quietBeats = 3
-	// freshTerm is how long after a read the state counts as current.
-	freshTerm = 1500 * clock.Millis(1)
-	// keepTerm is how long jobs are remembered; it is longer than anybody may
-	// ask for one.
-	keepTerm     = 180 * clock.Second
-	forgetPeriod = 5 * clock.Second
-	beatTimeout  = 2 * clock.Second
-	// firstOffset is that of the ledger's first record.
+	// minPause is the shortest pause between two reads, which batches records that arrive
+	// one by one. The pause grows with the number of instances: together they may use
+	// readShare of the reads per second that the log serves, and heartbeatShare of the
+	// writes. Hurry ends the pause early.
+	minPause       = 15 * clock.Millis(1)
+	readShare      = 0.15
+	heartbeatShare = 0.2
+	// silentPeriods is the number of heartbeat periods that others wait before they claim an
+	// instance's items.
+	silentPeriods = 3
+	// maxFreshAge is the greatest age at which the state still counts as fresh.
+	maxFreshAge = 1500 * clock.Millis(1)
+	// jobRetention is how long jobs are kept. It exceeds the time for which callers may ask
+	// for a job.
+	jobRetention     = 180 * clock.Second
+	forgetPeriod     = 5 * clock.Second
+	heartbeatTimeout = 2 * clock.Second
+	// firstOffset is the offset of the ledger's first record.
 	firstOffset ident.Offset = 1
 )
 
@@ -59,79 +59,80 @@
 	Write(ctx context.Context, stream ident.Stream, records ...[]byte) (ident.Offset, error)
 }
 
-// Ledger is this instance's copy. Set the exported fields before Run. The state
-// is guarded by mu.
+// Ledger is this instance's copy of the shared state. Set the exported fields and call
+// Setup before Run. The mutex mu guards the fields below it.
 type Ledger struct {
 	Self ident.InstanceName
 	Zone ident.Zone
-	// Address takes other instances' calls.
+	// Address accepts calls from other instances.
 	Address ident.Address
 	Clock   *clock.Clock
 	Log     zerolog.Logger
 	Reader  tail.Reader
 	Writer  Writer
-	// ReadsPerSecond and WritesPerSecond are what the log serves to all
-	// instances together.
+	// ReadsPerSecond and WritesPerSecond are the rates that the log serves to all instances
+	// together.
 	ReadsPerSecond  int
 	WritesPerSecond int
 
-	// quiet is the silence that is usual with so many instances, in milliseconds;
-	// it has no lock, since it is read by those who hold mu.
-	quiet atomic.Int64
+	// silenceLimit is silentPeriods heartbeat periods, in milliseconds, at the current number
+	// of instances. It is atomic because callers of QuietSince may hold mu.
+	silenceLimit atomic.Int64
 
 	mu      sync.Mutex
-	book    *jobs.Book
+	state   *jobs.State
 	changed chan struct{}
-	hurry   chan struct{}
-	// read is when the log last answered, ended when an answer last reached the
-	// end of the stream: in between, the state is known to be in arrears. Both are of
-	// the answer and not of its receipt (tail.Told).
-	read  clock.Millis
-	ended clock.Millis
-	// steady is since when the log has answered without a gap.
-	steady clock.Millis
-	// gap is when records were last found to be missing that the log had dropped, gapped
-	// that this has happened.
-	gap     clock.Millis
-	gapped  bool
-	began   bool
-	current bool
-	lost    bool
-	beaten  clock.Millis
-	leaving bool
+	readNow chan struct{}
+	// lastResponse is the time of the log's last response, lastCaughtUp that of the last
+	// response that reached the end of the stream. In between, the state is known to lag.
+	// Both are times at which the log responded, not at which the response was processed.
+	lastResponse clock.Millis
+	lastCaughtUp clock.Millis
+	// steadySince is the start of the current period without a pause of more than
+	// maxFreshAge between responses.
+	steadySince clock.Millis
+	// gapSeenAt is when records were last found missing because the log had dropped them
+	// before they were read; it is valid if gapSeen is set.
+	gapSeenAt     clock.Millis
+	gapSeen       bool
+	responded     bool
+	caughtUp      bool
+	unreachable   bool
+	lastHeartbeat clock.Millis
+	leaving       bool
 }
 
-// Setup makes the ledger usable; it is called before Run.
+// Setup initialises the ledger. Call it before Run.
 func (l *Ledger) Setup() {
-	l.book = jobs.NewBook()
+	l.state = jobs.NewState()
 	l.changed = make(chan struct{})
-	l.hurry = make(chan struct{}, 1)
+	l.readNow = make(chan struct{}, 1)
 }
 
-// Run follows the ledger and tells that this instance is alive until ctx ends.
+// Run follows the ledger's stream and sends heartbeats until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	tailer := &tail.Tailer{
-		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, Failed: l.failed,
-		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Hurry: l.hurry,
+		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, Failed: l.readFailed,
+		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Hurry: l.readNow,
 	}
 	var group conc.WaitGroup
 	group.Go(func() { tailer.Run(ctx) })
-	group.Go(func() { l.beat(ctx) })
+	group.Go(func() { l.sendHeartbeats(ctx) })
 	group.Go(func() { l.Clock.Every(ctx, forgetPeriod, l.forget) })
 	group.Wait()
 }
 
 // pause returns the pause between two reads.
 func (l *Ledger) pause() clock.Millis {
-	return max(leastPause, l.each(float64(l.ReadsPerSecond)*readShare))
+	return max(minPause, l.periodPerInstance(float64(l.ReadsPerSecond)*readShare))
 }
 
-// each returns the period at which each instance may act, if all together may
-// act so many times a second.
-func (l *Ledger) each(perSecond float64) clock.Millis {
+// periodPerInstance returns the period at which each instance may act if all live
+// instances together may act perSecond times a second.
+func (l *Ledger) periodPerInstance(perSecond float64) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	live := l.book.LiveCount(l.Clock.Mono() - DeadAfter)
+	live := l.state.LiveCount(l.Clock.Mono() - DeadAfter)
 	return clock.Millis(float64(live) * float64(clock.Second) / max(perSecond, 1))
 }
 
@@ -139,24 +140,24 @@
 	now := l.Clock.Mono()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.began && now-l.read > freshTerm {
-		l.book.Shift(now - l.read)
+	if l.responded && now-l.lastResponse > maxFreshAge {
+		l.state.ShiftLastHeard(now - l.lastResponse)
 	}
-	if !l.began || now-l.read > freshTerm {
-		l.steady = now
+	if !l.responded || now-l.lastResponse > maxFreshAge {
+		l.steadySince = now
 	}
-	if batch.First > max(l.book.Next, firstOffset) {
-		l.gap, l.gapped = now, true
+	if batch.First > max(l.state.Next, firstOffset) {
+		l.gapSeenAt, l.gapSeen = now, true
 	}
-	l.book.Current = l.current && now-l.read <= freshTerm
-	told := now
+	l.state.UpToDate = l.caughtUp && now-l.lastResponse <= maxFreshAge
+	respondedAt := now
 	if batch.Told > 0 {
-		told = min(now, batch.Told)
+		respondedAt = min(now, batch.Told)
 	}
-	l.began = true
-	l.read = told
-	if l.lost {
-		l.lost = false
+	l.responded = true
+	l.lastResponse = respondedAt
+	if l.unreachable {
+		l.unreachable = false
 		l.Log.Info().Str("Dependency", "ledger").Int64("Next", int64(batch.Next)).Msg("regained")
 	}
 	for _, record := range batch.Records {
@@ -166,8 +167,8 @@
 	if n := len(batch.Records); n > 0 {
 		last = batch.Records[n-1].Offset + 1
 	}
-	if max(last, l.book.Next) >= batch.Next {
-		l.current, l.ended = true, told
+	if max(last, l.state.Next) >= batch.Next {
+		l.caughtUp, l.lastCaughtUp = true, respondedAt
 	}
 	if len(batch.Records) > 0 {
 		close(l.changed)
@@ -182,198 +183,199 @@
 		return
 	}
 	if decoded != nil {
-		l.book.Apply(record.Offset, decoded, now)
+		l.state.Apply(record.Offset, decoded, now)
 	}
 }
 
-func (l *Ledger) failed(err error) {
+func (l *Ledger) readFailed(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.lost && l.Clock.Mono()-l.read > freshTerm {
-		l.lost = true
-		l.Log.Warn().Err(err).Str("Dependency", "ledger").Int64("AgeMillis", int64(l.Clock.Mono()-l.read)).Msg("lost")
+	if !l.unreachable && l.Clock.Mono()-l.lastResponse > maxFreshAge {
+		l.unreachable = true
+		l.Log.Warn().Err(err).Str("Dependency", "ledger").Int64("AgeMillis", int64(l.Clock.Mono()-l.lastResponse)).Msg("lost")
 	}
 }
 
 func (l *Ledger) forget() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.book.Forget(l.Clock.Mono() - keepTerm)
+	l.state.Forget(l.Clock.Mono() - jobRetention)
 }
 
-// beat writes signs of life. The first one ends the earlier life of this instance,
-// and takes no work before the state has been read to its end: the others would
-// give items and roles to an instance that can't act yet.
-func (l *Ledger) beat(ctx context.Context) {
-	l.beatOnce(ctx)
-	for !l.Current() {
-		if !l.Clock.Sleep(ctx, leastPause) {
+// sendHeartbeats sends heartbeats until ctx ends. The first one supersedes the earlier
+// run of this instance. Until the state has caught up, heartbeats report Leaving, so
+// that other instances assign no items or roles to an instance that cannot act yet.
+func (l *Ledger) sendHeartbeats(ctx context.Context) {
+	l.sendHeartbeat(ctx)
+	for !l.CaughtUp() {
+		if !l.Clock.Sleep(ctx, minPause) {
 			return
 		}
 	}
 	for {
-		l.beatOnce(ctx)
-		period := max(beatPeriod, l.each(float64(l.WritesPerSecond)*beatShare))
-		l.quiet.Store(int64(quietBeats * period))
-		if !l.rest(ctx, period) {
+		l.sendHeartbeat(ctx)
+		period := max(heartbeatPeriod, l.periodPerInstance(float64(l.WritesPerSecond)*heartbeatShare))
+		l.silenceLimit.Store(int64(silentPeriods * period))
+		if !l.waitUntilDue(ctx, period) {
 			return
 		}
 	}
 }
 
-func (l *Ledger) beatOnce(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, beatTimeout.Duration())
+func (l *Ledger) sendHeartbeat(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout.Duration())
 	defer cancel()
-	if _, err := l.Append(callCtx, l.sign()); err != nil && ctx.Err() == nil {
-		l.Log.Warn().Err(err).Msg("sign of life not written")
+	if _, err := l.Append(callCtx, l.heartbeat()); err != nil && ctx.Err() == nil {
+		l.Log.Warn().Err(err).Msg("heartbeat not written")
 	}
 }
 
-// rest waits until no sign of life has been written for a period: other records
-// of this instance are as good as one. It reports false if ctx ended.
-func (l *Ledger) rest(ctx context.Context, period clock.Millis) bool {
+// waitUntilDue waits until this instance has written no sign of life for a period; other
+// records count as signs of life too. It returns false if ctx ended.
+func (l *Ledger) waitUntilDue(ctx context.Context, period clock.Millis) bool {
 	if !l.Clock.Sleep(ctx, period) {
 		return false
 	}
-	for left := period - l.Heard(); left > 0; left = period - l.Heard() {
-		if !l.Clock.Sleep(ctx, left) {
+	for remaining := period - l.Heard(); remaining > 0; remaining = period - l.Heard() {
+		if !l.Clock.Sleep(ctx, remaining) {
 			return false
 		}
 	}
 	return true
 }
 
-// sign returns a sign of life.
-func (l *Ledger) sign() jobs.Beat {
+func (l *Ledger) heartbeat() jobs.Heartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return jobs.Beat{By: l.Self, Zone: l.Zone, Address: l.Address, Leaving: l.leaving || !l.current}
+	return jobs.Heartbeat{By: l.Self, Zone: l.Zone, Address: l.Address, Leaving: l.leaving || !l.caughtUp}
 }
 
-// Leave tells the others that this instance takes no more work.
+// Leave announces to other instances that this one accepts no more work.
 func (l *Ledger) Leave(ctx context.Context) error {
 	l.mu.Lock()
 	l.leaving = true
 	l.mu.Unlock()
-	_, err := l.Append(ctx, l.sign())
+	_, err := l.Append(ctx, l.heartbeat())
 	return err
 }
 
-// Append appends records next to each other. See tail.Writer for its errors.
+// Append writes records at consecutive offsets. See tail.Writer for the returned offset
+// and the errors.
 func (l *Ledger) Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error) {
 	data := make([][]byte, 0, len(records))
-	signs := false
+	signOfLife := false
 	for _, r := range records {
 		data = append(data, jobs.Encode(r))
-		signs = signs || jobs.Signs(r)
+		signOfLife = signOfLife || jobs.IsSignOfLife(r)
 	}
-	began := l.Clock.Mono()
+	sentAt := l.Clock.Mono()
 	offset, err := l.Writer.Write(ctx, Stream, data...)
-	if err == nil && signs {
+	if err == nil && signOfLife {
 		l.mu.Lock()
-		l.beaten = max(l.beaten, began)
+		l.lastHeartbeat = max(l.lastHeartbeat, sentAt)
 		l.mu.Unlock()
 	}
 	return offset, err
 }
 
-// Hurry has the log read at once, because something waits for records that are
-// known to be there.
+// Hurry ends the pause before the next read, for callers that wait for records that are
+// known to be in the log. It does not block.
 func (l *Ledger) Hurry() {
 	select {
-	case l.hurry <- struct{}{}:
+	case l.readNow <- struct{}{}:
 	default:
 	}
 }
 
-// View calls look with the state, which must not be kept or changed.
-func (l *Ledger) View(look func(*jobs.Book)) {
+// View calls visit with the state while holding the lock. The state must not be retained
+// or modified.
+func (l *Ledger) View(visit func(*jobs.State)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	look(l.book)
+	visit(l.state)
 }
 
-// Changed returns a channel that is closed at the next change of the state.
+// Changed returns a channel that is closed when the next records are folded.
 func (l *Ledger) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// Current tells whether the state has been read to its end once.
-func (l *Ledger) Current() bool {
+// CaughtUp reports whether the state has ever been read to the end of the stream.
+func (l *Ledger) CaughtUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.current
+	return l.caughtUp
 }
 
-// Age returns how long ago the state was last known to be current.
+// Age returns the time since the state was last known to be at the end of the stream, or
+// jobRetention if it never was.
 func (l *Ledger) Age() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.current {
-		return keepTerm
+	if !l.caughtUp {
+		return jobRetention
 	}
-	return l.Clock.Mono() - l.ended
+	return l.Clock.Mono() - l.lastCaughtUp
 }
 
-// Idle returns how long ago the log last answered. It may be called within
-// View.
+// Idle returns the time since the log's last response. The caller must hold the lock, as
+// within View.
 func (l *Ledger) Idle() clock.Millis {
-	return l.Clock.Mono() - l.read
+	return l.Clock.Mono() - l.lastResponse
 }
 
-// Steady returns for how long the log has answered without a gap. It may be called
-// within View.
+// Steady returns how long the log has responded without a pause of more than
+// maxFreshAge. The caller must hold the lock, as within View.
 func (l *Ledger) Steady() clock.Millis {
-	return l.Clock.Mono() - l.steady
+	return l.Clock.Mono() - l.steadySince
 }
 
-// Gap tells whether this copy lacks records that the log had dropped before they were
-// read, and when that was last found. It may be called within View.
+// Gap reports whether this copy lacks records that the log dropped before they were
+// read, and when that was last found. The caller must hold the lock, as within View.
 func (l *Ledger) Gap() (at clock.Millis, found bool) {
-	return l.gap, l.gapped
+	return l.gapSeenAt, l.gapSeen
 }
 
-// Away tells that the log does not answer: the state stays as it is. An instance
-// that is in arrears is not away, its state is about to change.
+// Away reports whether the log has stopped responding, so that the state cannot change.
+// An instance that has not caught up yet is not away.
 func (l *Ledger) Away() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.current && l.Idle() > freshTerm
+	return l.caughtUp && l.Idle() > maxFreshAge
 }
 
-// Fresh tells whether the state is current enough to act on.
+// Fresh reports whether the state is recent enough to act on.
 func (l *Ledger) Fresh() bool {
-	return l.Age() <= freshTerm
+	return l.Age() <= maxFreshAge
 }
 
-// Heard returns how long ago this instance's own last acknowledged sign of life
-// was sent.
+// Heard returns the time since this instance sent its last acknowledged sign of life.
 func (l *Ledger) Heard() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.Clock.Mono() - l.beaten
+	return l.Clock.Mono() - l.lastHeartbeat
 }
 
-// Since returns the time since which a member must have been heard to count as
+// Since returns the earliest time of a last sign of life at which a member counts as
 // alive.
 func (l *Ledger) Since() clock.Millis {
 	return l.Clock.Mono() - DeadAfter
 }
 
-// QuietSince returns the time since which the owner of an item must have been
-// heard. With many instances signs of life come less often.
+// QuietSince returns the earliest time of a last sign of life at which the owner of an
+// item keeps it. With many instances, heartbeats are less frequent and the time is earlier.
 func (l *Ledger) QuietSince() clock.Millis {
-	return l.Clock.Mono() - max(QuietAfter, clock.Millis(l.quiet.Load()))
+	return l.Clock.Mono() - max(QuietAfter, clock.Millis(l.silenceLimit.Load()))
 }
 
-// Await waits until the record before next has been folded.
+// Await waits until all records before the offset next have been folded, or ctx ends.
 func (l *Ledger) Await(ctx context.Context, next ident.Offset) error {
 	for {
 		changed := l.Changed()
 		reached := false
-		l.View(func(b *jobs.Book) { reached = b.Next >= next })
+		l.View(func(b *jobs.State) { reached = b.Next >= next })
 		if reached {
 			return nil
 		}
--- a/croftmoor/ledger/ledger_test.go
+++ b/croftmoor/ledger/ledger_test.go
@@ -15,40 +15,40 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// signWriter takes signs of life.
-type signWriter struct {
-	mu    sync.Mutex
-	signs []jobs.Beat
+// heartbeatWriter records the heartbeats written to it.
+type heartbeatWriter struct {
+	mu         sync.Mutex
+	heartbeats []jobs.Heartbeat
 }
 
-func (w *signWriter) Write(_ context.Context, _ ident.Stream, records ...[]byte) (ident.Offset, error) {
+func (w *heartbeatWriter) Write(_ context.Context, _ ident.Stream, records ...[]byte) (ident.Offset, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, data := range records {
 		record, err := jobs.Decode(data)
-		if sign, ok := record.(jobs.Beat); ok && err == nil {
-			w.signs = append(w.signs, sign)
+		if heartbeat, ok := record.(jobs.Heartbeat); ok && err == nil {
+			w.heartbeats = append(w.heartbeats, heartbeat)
 		}
 	}
 	return 0, nil
 }
 
-func (w *signWriter) assertLast(t *testing.T, count int, leaving bool) {
+func (w *heartbeatWriter) assertLast(t *testing.T, count int, leaving bool) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.signs) != count || w.signs[count-1].Leaving != leaving {
-		t.Errorf("signs %+v, want %d, the last with Leaving %v", w.signs, count, leaving)
+	if len(w.heartbeats) != count || w.heartbeats[count-1].Leaving != leaving {
+		t.Errorf("heartbeats %+v, want %d, the last with Leaving %v", w.heartbeats, count, leaving)
 	}
 }
 
 func newLedger() *Ledger {
-	l := &Ledger{Self: "a~1", Clock: clock.New(), Log: zerolog.Nop(), Writer: &signWriter{}, ReadsPerSecond: 100, WritesPerSecond: 100}
+	l := &Ledger{Self: "a~1", Clock: clock.New(), Log: zerolog.Nop(), Writer: &heartbeatWriter{}, ReadsPerSecond: 100, WritesPerSecond: 100}
 	l.Setup()
 	return l
 }
 
-// batch returns records from offset on, of a stream that ends at next.
+// batch returns records from the offset from on, of a stream that ends at next.
 func batch(from, next ident.Offset, records ...jobs.Record) tail.Batch {
 	b := tail.Batch{First: 1, Next: next}
 	for i, r := range records {
@@ -67,48 +67,47 @@
 func TestArrears(t *testing.T) {
 	l := newLedger()
 	t.Run("a part of the stream does not make the state current", func(t *testing.T) {
-		l.apply(batch(1, 5, jobs.Beat{By: "b~1"}))
+		l.apply(batch(1, 5, jobs.Heartbeat{By: "b~1"}))
 		assertState(t, l, false, false)
 	})
 	t.Run("its end does", func(t *testing.T) {
-		l.apply(batch(2, 5, jobs.Beat{By: "b~1"}, jobs.Beat{By: "b~1"}, jobs.Beat{By: "b~1"}))
+		l.apply(batch(2, 5, jobs.Heartbeat{By: "b~1"}, jobs.Heartbeat{By: "b~1"}, jobs.Heartbeat{By: "b~1"}))
 		assertState(t, l, true, false)
 	})
 	t.Run("answers that stay behind the end let it age", func(t *testing.T) {
-		time.Sleep(freshTerm.Duration() + 100*time.Millisecond)
-		l.apply(batch(5, 900, jobs.Beat{By: "b~1"}))
+		time.Sleep(maxFreshAge.Duration() + 100*time.Millisecond)
+		l.apply(batch(5, 900, jobs.Heartbeat{By: "b~1"}))
 		assertState(t, l, false, false)
 	})
 	t.Run("silence is the log being away", func(t *testing.T) {
-		time.Sleep(freshTerm.Duration() + 100*time.Millisecond)
+		time.Sleep(maxFreshAge.Duration() + 100*time.Millisecond)
 		assertState(t, l, false, true)
 	})
 }
 
 func TestNoWorkBeforeTheStateIsCurrent(t *testing.T) {
 	l := newLedger()
-	writer := &signWriter{}
+	writer := &heartbeatWriter{}
 	l.Writer = writer
 	ctx, stop := context.WithCancel(t.Context())
 	var group conc.WaitGroup
-	group.Go(func() { l.beat(ctx) })
+	group.Go(func() { l.sendHeartbeats(ctx) })
 	defer group.Wait()
 	defer stop()
-	l.apply(batch(1, 5, jobs.Beat{By: "b~1"}))
-	time.Sleep(5 * leastPause.Duration())
+	l.apply(batch(1, 5, jobs.Heartbeat{By: "b~1"}))
+	time.Sleep(5 * minPause.Duration())
 	writer.assertLast(t, 1, true)
-	l.apply(batch(2, 3, jobs.Beat{By: "b~1"}))
-	time.Sleep(5 * leastPause.Duration())
+	l.apply(batch(2, 3, jobs.Heartbeat{By: "b~1"}))
+	time.Sleep(5 * minPause.Duration())
 	writer.assertLast(t, 2, false)
 }
 
-// An instance froze for 5.7 s while a read waited, and took the answer that had come in its
-// first half second for news when it woke: it answered 404 for a job that the others had
-// accepted meanwhile. The state is as old as the answer, whenever that is received.
+// Guards against counting a response as news when it is processed late: the state is as
+// old as the response, for instance after the process was suspended.
 func TestAnswerThatWaited(t *testing.T) {
 	l := newLedger()
 	l.Clock = clock.NewManual(clock.Minute)
-	l.apply(batch(1, 2, jobs.Beat{By: "b~1"}))
+	l.apply(batch(1, 2, jobs.Heartbeat{By: "b~1"}))
 	assertState(t, l, true, false)
 	asked := l.Clock.Mono()
 	l.Clock.Advance(5700)
@@ -116,7 +115,7 @@
 	late.Told = tail.Told(asked, l.Clock.Mono(), readWait)
 	l.apply(late)
 	if l.Fresh() {
-		t.Errorf("an answer that waited for 5.7 s made the state current; age %d ms", l.Age())
+		t.Errorf("a response processed 5.7 s late made the state fresh; age %d ms", l.Age())
 	}
 	asked = l.Clock.Mono()
 	l.Clock.Advance(4)
--- a/kernel/jobs/codec.go
+++ b/kernel/jobs/codec.go
@@ -9,12 +9,11 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// maxList bounds the lists in a record, so that a corrupt length can't take
-// all memory.
-const maxList = 1 << 20
+// maxListLength bounds the lists in a record: a corrupt length must not exhaust memory.
+const maxListLength = 1 << 20
 
-// Encode returns a record's bytes: its kind, then its fields in order. Fields
-// may only be added at the end.
+// Encode returns the bytes of a record: its kind, then its fields in order. New fields
+// may only be appended.
 func Encode(r Record) []byte {
 	w := &writer{}
 	w.encoder = msgpack.NewEncoder(&w.buffer)
@@ -31,7 +30,7 @@
 		w.finish(v)
 	case End:
 		w.text(string(v.Job))
-	case Beat:
+	case Heartbeat:
 		w.text(string(v.By))
 		w.text(string(v.Zone))
 		w.flag(v.Leaving)
@@ -40,7 +39,7 @@
 		w.text(v.Role)
 		w.text(string(v.By))
 		w.int(int64(v.Replaces))
-	case Order:
+	case LoadOrder:
 		w.text(v.Role)
 		w.int(int64(v.Fence))
 		w.text(string(v.Engine))
@@ -50,10 +49,10 @@
 		w.text(string(v.Engine))
 		w.text(string(v.Model))
 		w.int(int64(v.Version))
-	case Used, Usage, Reported:
-		w.use(v)
-	case Keep:
-		w.keep(v)
+	case UsageDelta, UsageTotal, UsageReported:
+		w.usage(v)
+	case SavePartial:
+		w.savePartial(v)
 	case Defer:
 		w.text(string(v.Job))
 		w.text(string(v.By))
@@ -67,19 +66,19 @@
 	return w.buffer.Bytes()
 }
 
-// Decode reads what Encode wrote. An unknown kind, from a newer program, gives
-// nil without an error.
+// Decode parses what Encode wrote. A record of an unknown kind, written by a newer
+// version of the program, yields nil and no error.
 func Decode(data []byte) (Record, error) {
 	r := &reader{decoder: msgpack.NewDecoder(bytes.NewReader(data))}
 	kind := recordKind(r.int())
 	record := r.record(kind)
 	if r.err != nil {
-		return nil, fault.Wrap("jobs.Decode", Corrupt, r.err, "unreadable record")
+		return nil, fault.Wrap("jobs.Decode", Corrupt, r.err, "cannot decode ledger record")
 	}
 	return record, nil
 }
 
-// writer encodes fields. Writing to a buffer does not fail.
+// writer encodes fields into a buffer, which cannot fail.
 type writer struct {
 	buffer  bytes.Buffer
 	encoder *msgpack.Encoder
@@ -103,19 +102,18 @@
 	}
 }
 
-// use writes the fields of the records on use.
-func (w *writer) use(r Record) {
+func (w *writer) usage(r Record) {
 	switch v := r.(type) {
-	case Used:
+	case UsageDelta:
 		w.text(string(v.By))
 		w.int(int64(v.Window))
 		w.counts(v.Counts)
-	case Usage:
+	case UsageTotal:
 		w.text(v.Role)
 		w.int(int64(v.Fence))
 		w.int(int64(v.Window))
 		w.counts(v.Counts)
-	case Reported:
+	case UsageReported:
 		w.int(int64(v.Window))
 	}
 }
@@ -135,9 +133,9 @@
 	w.text(string(a.Service))
 	w.text(string(a.Model))
 	w.int(int64(a.Step))
-	w.int(int64(a.Least))
-	w.int(int64(a.Wanted))
-	w.flag(a.Single)
+	w.int(int64(a.MinVersion))
+	w.int(int64(a.WantedGroups))
+	w.flag(a.SingleVersion)
 	w.length(len(a.Items))
 	for _, item := range a.Items {
 		w.text(string(item.ID))
@@ -166,22 +164,22 @@
 	w.int(int64(y.Index))
 	w.partial(y.Partial)
 	w.flag(y.Failed)
-	w.speed(y.Speed)
+	w.timing(y.Timing)
 }
 
 func (w *writer) finish(f Finish) {
 	w.text(string(f.Job))
 	w.text(string(f.By))
 	w.int(int64(f.Index))
-	w.text(string(f.State))
+	w.text(string(f.Outcome))
 	w.versions(f.Versions)
 	w.text(f.Score)
 	w.spans(f.Texts)
 	w.int(int64(f.Events))
-	w.speed(f.Speed)
+	w.timing(f.Timing)
 }
 
-func (w *writer) keep(k Keep) {
+func (w *writer) savePartial(k SavePartial) {
 	w.text(string(k.Job))
 	w.text(string(k.By))
 	w.int(int64(k.Index))
@@ -199,22 +197,22 @@
 	w.spans(p.Texts)
 	w.int(int64(p.Events))
 	w.versions(p.Versions)
-	w.flag(p.Whole)
+	w.flag(p.Complete)
 }
 
-func (w *writer) speed(s Speed) {
+func (w *writer) timing(s Timing) {
 	w.text(string(s.Engine))
 	w.int(int64(s.Events))
 	w.int(int64(s.Millis))
 }
 
-// reader decodes fields; after the first failure it returns zero values.
+// reader decodes fields; after the first error it returns zero values.
 type reader struct {
 	decoder *msgpack.Decoder
 	err     error
 }
 
-func (r *reader) keep(err error) {
+func (r *reader) setErr(err error) {
 	if r.err == nil {
 		r.err = err
 	}
@@ -225,12 +223,13 @@
 		return ""
 	}
 	s, err := r.decoder.DecodeString()
-	r.keep(err)
+	r.setErr(err)
 	return s
 }
 
-// added reads a text at the end of a record; older programs did not write it.
-func (r *reader) added() string {
+// optionalText reads a trailing text field that older versions of the program did not
+// write.
+func (r *reader) optionalText() string {
 	if _, err := r.decoder.PeekCode(); err != nil {
 		return ""
 	}
@@ -242,7 +241,7 @@
 		return 0
 	}
 	n, err := r.decoder.DecodeInt64()
-	r.keep(err)
+	r.setErr(err)
 	return n
 }
 
@@ -251,7 +250,7 @@
 		return false
 	}
 	b, err := r.decoder.DecodeBool()
-	r.keep(err)
+	r.setErr(err)
 	return b
 }
 
@@ -260,9 +259,9 @@
 		return 0
 	}
 	n, err := r.decoder.DecodeArrayLen()
-	r.keep(err)
-	if n < 0 || n > maxList {
-		r.keep(fault.New("jobs.Decode", Corrupt, "a list is too long"))
+	r.setErr(err)
+	if n < 0 || n > maxListLength {
+		r.setErr(fault.New("jobs.Decode", Corrupt, "list length out of range"))
 		return 0
 	}
 	return n
@@ -282,11 +281,11 @@
 }
 
 func (r *reader) partial() Partial {
-	return Partial{Texts: r.spans(), Events: int(r.int()), Versions: r.versions(), Whole: r.flag()}
+	return Partial{Texts: r.spans(), Events: int(r.int()), Versions: r.versions(), Complete: r.flag()}
 }
 
-func (r *reader) speed() Speed {
-	return Speed{Engine: ident.BackendName(r.text()), Events: int(r.int()), Millis: int(r.int())}
+func (r *reader) timing() Timing {
+	return Timing{Engine: ident.BackendName(r.text()), Events: int(r.int()), Millis: int(r.int())}
 }
 
 func (r *reader) versions() []ident.Version {
@@ -316,30 +315,30 @@
 	case yieldKind:
 		return Yield{
 			Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()),
-			Partial: r.partial(), Failed: r.flag(), Speed: r.speed(),
+			Partial: r.partial(), Failed: r.flag(), Timing: r.timing(),
 		}
 	case finishKind:
 		return Finish{
-			Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), State: State(r.text()),
-			Versions: r.versions(), Score: r.text(), Texts: r.spans(), Events: int(r.int()), Speed: r.speed(),
+			Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Outcome: Outcome(r.text()),
+			Versions: r.versions(), Score: r.text(), Texts: r.spans(), Events: int(r.int()), Timing: r.timing(),
 		}
 	case endKind:
 		return End{Job: ident.Job(r.text())}
-	case beatKind:
-		return Beat{By: ident.InstanceName(r.text()), Zone: ident.Zone(r.text()), Leaving: r.flag(), Address: ident.Address(r.text())}
+	case heartbeatKind:
+		return Heartbeat{By: ident.InstanceName(r.text()), Zone: ident.Zone(r.text()), Leaving: r.flag(), Address: ident.Address(r.text())}
 	case holdKind:
 		return Hold{Role: r.text(), By: ident.InstanceName(r.text()), Replaces: ident.Offset(r.int())}
-	case orderKind:
-		return Order{
+	case loadOrderKind:
+		return LoadOrder{
 			Role: r.text(), Fence: ident.Fence(r.int()), Engine: ident.BackendName(r.text()),
 			Model: ident.Model(r.text()), Version: ident.Version(r.int()),
 		}
 	case loadedKind:
 		return Loaded{Engine: ident.BackendName(r.text()), Model: ident.Model(r.text()), Version: ident.Version(r.int())}
-	case usedKind, usageKind, reportedKind:
-		return r.use(kind)
-	case keepKind:
-		return Keep{Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Partial: r.partial()}
+	case usageDeltaKind, usageTotalKind, usageReportedKind:
+		return r.usage(kind)
+	case savePartialKind:
+		return SavePartial{Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Partial: r.partial()}
 	case deferKind:
 		return Defer{Job: ident.Job(r.text()), By: ident.InstanceName(r.text()), Index: int(r.int()), Millis: int(r.int())}
 	case avoidKind:
@@ -349,31 +348,30 @@
 	}
 }
 
-// use reads the fields of the records on use.
-func (r *reader) use(kind recordKind) Record {
+func (r *reader) usage(kind recordKind) Record {
 	switch kind {
-	case usedKind:
-		return Used{By: ident.InstanceName(r.text()), Window: ident.Window(r.int()), Counts: r.counts()}
-	case usageKind:
-		return Usage{Role: r.text(), Fence: ident.Fence(r.int()), Window: ident.Window(r.int()), Counts: r.counts()}
+	case usageDeltaKind:
+		return UsageDelta{By: ident.InstanceName(r.text()), Window: ident.Window(r.int()), Counts: r.counts()}
+	case usageTotalKind:
+		return UsageTotal{Role: r.text(), Fence: ident.Fence(r.int()), Window: ident.Window(r.int()), Counts: r.counts()}
 	default:
-		return Reported{Window: ident.Window(r.int())}
+		return UsageReported{Window: ident.Window(r.int())}
 	}
 }
 
 func (r *reader) accept() Record {
 	a := Accept{
 		Job: ident.Job(r.text()), Host: r.text(), Prefix: r.text(), Service: ident.Service(r.text()),
-		Model: ident.Model(r.text()), Step: ident.Step(r.int()), Least: ident.Version(r.int()),
-		Wanted: int(r.int()), Single: r.flag(),
+		Model: ident.Model(r.text()), Step: ident.Step(r.int()), MinVersion: ident.Version(r.int()),
+		WantedGroups: int(r.int()), SingleVersion: r.flag(),
 	}
 	n := r.length()
 	for range n {
-		a.Items = append(a.Items, Plan{
+		a.Items = append(a.Items, ItemSpec{
 			ID: ident.Item(r.text()), Group: ident.Group(r.text()), Expect: ident.Tokens(r.int()), Body: r.span(),
 		})
 	}
-	a.Organisation = ident.Organisation(r.added())
+	a.Organisation = ident.Organisation(r.optionalText())
 	return a
 }
 
@@ -383,6 +381,6 @@
 	for range n {
 		c.Targets = append(c.Targets, Target{Index: int(r.int()), Replaces: ident.Offset(r.int())})
 	}
-	c.Dealer = ident.InstanceName(r.added())
+	c.Dealer = ident.InstanceName(r.optionalText())
 	return c
 }
--- a/kernel/jobs/engine.go
+++ b/kernel/jobs/engine.go
@@ -5,37 +5,38 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// paceEvents is how many events weigh as much as all that was seen before: the
-// longest texts have three times as many.
-const paceEvents = 60
+// paceWeightEvents is the number of events at which one run counts as much as the
+// average so far.
+const paceWeightEvents = 60
 
-func (b *Book) learn(s Speed) {
-	if s.Events <= 0 || s.Millis <= 0 || s.Engine == "" {
+func (s *State) updatePace(timing Timing) {
+	if timing.Events <= 0 || timing.Millis <= 0 || timing.Engine == "" {
 		return
 	}
-	seen := float64(s.Millis) / float64(s.Events)
-	pace := b.Paces[s.Engine]
-	if pace.PerEvent == 0 {
-		pace.PerEvent = seen
+	perEvent := float64(timing.Millis) / float64(timing.Events)
+	pace := s.Paces[timing.Engine]
+	if pace.MillisPerEvent == 0 {
+		pace.MillisPerEvent = perEvent
 	}
-	weight := float64(s.Events) / float64(s.Events+paceEvents)
-	pace.PerEvent += weight * (seen - pace.PerEvent)
-	b.Paces[s.Engine] = pace
+	weight := float64(timing.Events) / float64(timing.Events+paceWeightEvents)
+	pace.MillisPerEvent += weight * (perEvent - pace.MillisPerEvent)
+	s.Paces[timing.Engine] = pace
 }
 
-// faultWeight is what one run weighs against the share of failures before it.
-const faultWeight = 0.15
+// failureWeight is the weight of the latest run in the moving average of failures.
+const failureWeight = 0.15
 
-// judge notes the end of a run: 1 is a failure of the engine, 0 a whole text.
-func (b *Book) judge(engine ident.BackendName, failure float64) {
-	b.Faults[engine] += faultWeight * (failure - b.Faults[engine])
+// updateFailureRate records the end of a run: failure is 1 if the engine failed it and
+// 0 if the item completed.
+func (s *State) updateFailureRate(engine ident.BackendName, failure float64) {
+	s.FailureRates[engine] += failureWeight * (failure - s.FailureRates[engine])
 }
 
-// avoid keeps items from an engine for a while, unless the record is read in
-// arrears: then its time is over, or nearly.
-func (b *Book) avoid(a Avoid, now clock.Millis) {
-	b.hear(a.By, now)
-	if b.Current {
-		b.Avoided[a.Engine] = max(b.Avoided[a.Engine], now+clock.Millis(a.Millis))
+// avoid blocks an engine for the record's duration. Records from the backlog are
+// ignored, since their duration is over or nearly so.
+func (s *State) avoid(a Avoid, now clock.Millis) {
+	s.markHeard(a.By, now)
+	if s.UpToDate {
+		s.AvoidedUntil[a.Engine] = max(s.AvoidedUntil[a.Engine], now+clock.Millis(a.Millis))
 	}
 }
--- a/kernel/jobs/jobs_test.go
+++ b/kernel/jobs/jobs_test.go
@@ -12,7 +12,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// CI draws the same histories every time; elsewhere each run draws others.
+// Fixes the seed in CI; local runs draw new histories each time.
 func init() {
 	if os.Getenv("CI") != "" {
 		_ = flag.Set("rapid.seed", "20261202")
@@ -20,16 +20,16 @@
 }
 
 func accept(job ident.Job, least ident.Version, items ...ident.Item) Accept {
-	a := Accept{Job: job, Host: "h", Prefix: "/p/", Service: "s", Model: "m", Least: least, Wanted: 1}
+	a := Accept{Job: job, Host: "h", Prefix: "/p/", Service: "s", Model: "m", MinVersion: least, WantedGroups: 1}
 	for _, id := range items {
-		a.Items = append(a.Items, Plan{ID: id, Group: "g", Expect: 100, Body: Span{Stream: "bodies.1", First: 3, Count: 1}})
+		a.Items = append(a.Items, ItemSpec{ID: id, Group: "g", Expect: 100, Body: Span{Stream: "bodies.1", First: 3, Count: 1}})
 	}
 	return a
 }
 
-// log applies records in order to a new book.
-func fold(records ...Record) *Book {
-	b := NewBook()
+// fold applies records in order to a new state.
+func fold(records ...Record) *State {
+	b := NewState()
 	for i, r := range records {
 		b.Apply(ident.Offset(i+1), r, clock.Millis(i))
 	}
@@ -37,23 +37,23 @@
 }
 
 func TestCodec(t *testing.T) {
-	partial := Partial{Texts: []Span{{Stream: "texts.2", First: 9, Count: 2}}, Events: 7, Versions: []ident.Version{1, 2}, Whole: true}
-	speed := Speed{Engine: "e", Events: 7, Millis: 300}
+	partial := Partial{Texts: []Span{{Stream: "texts.2", First: 9, Count: 2}}, Events: 7, Versions: []ident.Version{1, 2}, Complete: true}
+	speed := Timing{Engine: "e", Events: 7, Millis: 300}
 	records := []Record{
 		accept("j", 2, "a", "b"),
 		Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 1, Replaces: 4}}},
 		Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 2}}, Dealer: "d"},
-		Yield{Job: "j", By: "i", Index: 1, Partial: partial, Failed: true, Speed: speed},
-		Keep{Job: "j", By: "i", Index: 1, Partial: partial},
-		Finish{Job: "j", By: "i", Index: 1, State: Completed, Versions: []ident.Version{3}, Score: "s", Texts: partial.Texts, Events: 7, Speed: speed},
-		End{Job: "j"}, Beat{By: "i", Zone: "z", Leaving: true, Address: "1.2.3.4:5"},
-		Hold{Role: "r", By: "i", Replaces: 5}, Order{Role: "r", Fence: 5, Engine: "e", Model: "m", Version: 6},
+		Yield{Job: "j", By: "i", Index: 1, Partial: partial, Failed: true, Timing: speed},
+		SavePartial{Job: "j", By: "i", Index: 1, Partial: partial},
+		Finish{Job: "j", By: "i", Index: 1, Outcome: Completed, Versions: []ident.Version{3}, Score: "s", Texts: partial.Texts, Events: 7, Timing: speed},
+		End{Job: "j"}, Heartbeat{By: "i", Zone: "z", Leaving: true, Address: "1.2.3.4:5"},
+		Hold{Role: "r", By: "i", Replaces: 5}, LoadOrder{Role: "r", Fence: 5, Engine: "e", Model: "m", Version: 6},
 		Loaded{Engine: "e", Model: "m", Version: 6}, Avoid{By: "i", Engine: "e", Millis: 7}, Defer{Job: "j", By: "i", Index: 2, Millis: 7},
 	}
 	for _, r := range records {
 		got, err := Decode(Encode(r))
 		if err != nil || !reflect.DeepEqual(got, r) {
-			t.Errorf("%T came back as %+v (%v), want %+v", r, got, err, r)
+			t.Errorf("%T was decoded as %+v (%v), want %+v", r, got, err, r)
 		}
 	}
 	t.Run("a record of a newer program is passed over", func(t *testing.T) {
@@ -106,21 +106,21 @@
 	t.Run("a yield of another than the owner leaves the claim", func(t *testing.T) {
 		b := fold(job, claimOf("j", "x", 0, 0), Yield{Job: "j", By: "y", Partial: Partial{Events: 3}})
 		if i := b.Jobs["j"].Items[0]; i.Owner != "x" || i.Partial.Events != 3 {
-			t.Errorf("owner %q, kept %d", i.Owner, i.Partial.Events)
+			t.Errorf("owner %q, %d events saved", i.Owner, i.Partial.Events)
 		}
 	})
 }
 
 func TestFaults(t *testing.T) {
 	b := fold(accept("j", 1, "a", "b"), claimOf("j", "x", 0, 0), Yield{Job: "j", By: "x", Failed: true})
-	if got := b.Jobs["j"].Items[0].FailedAt; len(got) != 1 || got[0] != "e" || b.Faults["e"] == 0 {
-		t.Errorf("failed at %v, share %v, want once at e", got, b.Faults["e"])
+	if got := b.Jobs["j"].Items[0].FailedOn; len(got) != 1 || got[0] != "e" || b.FailureRates["e"] == 0 {
+		t.Errorf("failed on %v, failure rate %v, want e once", got, b.FailureRates["e"])
 	}
-	before := b.Faults["e"]
+	before := b.FailureRates["e"]
 	b.Apply(9, claimOf("j", "x", 1, 0), 0)
-	b.Apply(10, Finish{Job: "j", By: "x", Index: 1, State: Completed}, 0)
-	if b.Faults["e"] >= before {
-		t.Errorf("the share stayed at %v after a whole text", b.Faults["e"])
+	b.Apply(10, Finish{Job: "j", By: "x", Index: 1, Outcome: Completed}, 0)
+	if b.FailureRates["e"] >= before {
+		t.Errorf("failure rate stayed at %v after a completed item", b.FailureRates["e"])
 	}
 }
 
@@ -133,10 +133,10 @@
 	}{{"a text of fitting versions is taken over", 2, 4}, {"one that is too old is not", 3, 0}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := fold(accept("j", 1, "a"), Keep{Job: "j", Partial: kept}, End{Job: "j"}, accept("k", c.least, "a"))
+			b := fold(accept("j", 1, "a"), SavePartial{Job: "j", Partial: kept}, End{Job: "j"}, accept("k", c.least, "a"))
 			item := b.Jobs["k"].Items[0]
-			if !item.Brought || item.Partial.Events != c.want {
-				t.Errorf("brought %v with %d events, want %d", item.Brought, item.Partial.Events, c.want)
+			if !item.CarriedOver || item.Partial.Events != c.want {
+				t.Errorf("carried over %v with %d events, want %d", item.CarriedOver, item.Partial.Events, c.want)
 			}
 		})
 	}
@@ -145,12 +145,12 @@
 func TestHolds(t *testing.T) {
 	t.Run("of two that follow the same hold the first counts", func(t *testing.T) {
 		b := fold(Hold{Role: "r", By: "x"}, Hold{Role: "r", By: "y", Replaces: 1}, Hold{Role: "r", By: "z", Replaces: 1})
-		if h := b.Holds["r"]; h.By != "y" || h.Fence != 2 {
-			t.Errorf("held by %q with %d, want y with 2", h.By, h.Fence)
+		if h := b.RoleHolders["r"]; h.By != "y" || h.Fence != 2 {
+			t.Errorf("role held by %q with fence %d, want y with 2", h.By, h.Fence)
 		}
 	})
 	t.Run("an order under an older fence does not count", func(t *testing.T) {
-		b := fold(Hold{Role: "r", By: "x"}, Hold{Role: "r", By: "y", Replaces: 1}, Order{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2})
+		b := fold(Hold{Role: "r", By: "x"}, Hold{Role: "r", By: "y", Replaces: 1}, LoadOrder{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2})
 		if w := b.Weights[EngineModel{Engine: "e", Model: "m"}]; w.Ordered != 0 {
 			t.Errorf("ordered %d, want none", w.Ordered)
 		}
@@ -158,31 +158,31 @@
 }
 
 func TestLives(t *testing.T) {
-	b := fold(Beat{By: "n~1", Zone: "z"}, Beat{By: "m~1", Zone: "z"}, Beat{By: "n~2", Zone: "z"})
+	b := fold(Heartbeat{By: "n~1", Zone: "z"}, Heartbeat{By: "m~1", Zone: "z"}, Heartbeat{By: "n~2", Zone: "z"})
 	if b.Alive("n~1", 0) || !b.Alive("n~2", 0) || !b.Alive("m~1", 0) {
-		t.Error("a new life must end the earlier lives of the same instance, and only these")
+		t.Error("a restart must supersede the earlier runs of the same instance, and only these")
 	}
-	b.Shift(1000)
+	b.ShiftLastHeard(1000)
 	if !b.Alive("m~1", 900) {
-		t.Error("silence that nobody could hear must not count")
+		t.Error("a member must stay alive across a period in which the reader could not read")
 	}
 }
 
-// ledgerModel draws histories of several instances that write to one ledger,
-// late, twice and in any order, with rebuilds from the start.
+// ledgerModel generates histories of several instances that write to one ledger: late,
+// duplicate and reordered records, and rebuilds from the start.
 type ledgerModel struct {
 	records []Record
-	book    *Book
-	// listed is what callers have read: it must never change.
-	listed   map[ident.Job][]Result
-	accepted map[ident.Job]int
+	state   *State
+	// seenResults holds the results that callers have read: these must never change.
+	seenResults map[ident.Job][]Result
+	accepted    map[ident.Job]int
 }
 
 var modelNames = []ident.InstanceName{"a~1", "b~1", "c~1", "a~2"}
 
 func (m *ledgerModel) write(r Record) {
 	m.records = append(m.records, r)
-	m.book.Apply(ident.Offset(len(m.records)), r, clock.Millis(len(m.records)))
+	m.state.Apply(ident.Offset(len(m.records)), r, clock.Millis(len(m.records)))
 }
 
 func (m *ledgerModel) job(t *rapid.T) ident.Job {
@@ -207,7 +207,7 @@
 }
 
 func (m *ledgerModel) finish(t *rapid.T) {
-	m.write(Finish{Job: m.job(t), By: m.name(t), Index: m.index(t), State: Completed, Score: rapid.String().Draw(t, "score")})
+	m.write(Finish{Job: m.job(t), By: m.name(t), Index: m.index(t), Outcome: Completed, Score: rapid.String().Draw(t, "score")})
 }
 
 func (m *ledgerModel) yield(t *rapid.T) {
@@ -220,63 +220,62 @@
 	}
 }
 
-func (m *ledgerModel) beat(t *rapid.T) { m.write(Beat{By: m.name(t), Zone: "z"}) }
+func (m *ledgerModel) beat(t *rapid.T) { m.write(Heartbeat{By: m.name(t), Zone: "z"}) }
 
-// again writes an old record once more, as a repeated append may.
-func (m *ledgerModel) again(t *rapid.T) {
+// repeat writes an old record again, as a retried append may.
+func (m *ledgerModel) repeat(t *rapid.T) {
 	if len(m.records) > 0 {
 		m.write(rapid.SampledFrom(m.records).Draw(t, "record"))
 	}
 }
 
-// rebuild reads everything from the start, as an instance does that has lost
-// its memory, at other times of its own.
+// rebuild replays all records on another clock, as an instance does after a restart.
 func (m *ledgerModel) rebuild(*rapid.T) {
-	fresh := NewBook()
+	fresh := NewState()
 	for i, r := range m.records {
 		fresh.Apply(ident.Offset(i+1), r, clock.Millis(1_000_000+i*7))
 	}
-	m.book = fresh
+	m.state = fresh
 }
 
 func (m *ledgerModel) check(t *rapid.T) {
 	for job, total := range m.accepted {
-		j := m.book.Jobs[job]
+		j := m.state.Jobs[job]
 		if j == nil || len(j.Items) != total {
 			t.Fatalf("accepted job %s has lost items", job)
 		}
 		m.checkPositions(t, j)
 		m.checkIndexes(t, j)
 	}
-	for engine, load := range m.book.Loads {
-		if n := claimedAt(m.book, engine); n != load.Items {
+	for engine, load := range m.state.Loads {
+		if n := claimedAt(m.state, engine); n != load.Items {
 			t.Fatalf("load of %s is %d, %d items are claimed", engine, load.Items, n)
 		}
 	}
 }
 
-// checkIndexes compares what the book counts as it goes with the items themselves.
+// checkIndexes compares the incrementally updated counts and indexes with the items.
 func (m *ledgerModel) checkIndexes(t *rapid.T, j *Job) {
 	waiting := 0
 	for n, i := range j.Items {
 		if i.Claim == 0 && !i.Done {
 			waiting++
 		}
-		for owner, keys := range m.book.Claims {
+		for owner, keys := range m.state.Claims {
 			if _, has := keys[ItemKey{Job: j.Job, Index: n}]; has != (i.Claim != 0 && i.Owner == owner) {
 				t.Fatalf("item %d of %s has owner %q and claim %d, the index of %s says %v", n, j.Job, i.Owner, i.Claim, owner, has)
 			}
 		}
-		if _, has := m.book.Claims[i.Owner][ItemKey{Job: j.Job, Index: n}]; i.Claim != 0 && !has {
+		if _, has := m.state.Claims[i.Owner][ItemKey{Job: j.Job, Index: n}]; i.Claim != 0 && !has {
 			t.Fatalf("item %d of %s is missing in the index of %s", n, j.Job, i.Owner)
 		}
 	}
 	if waiting != j.Waiting {
-		t.Fatalf("%d items of %s wait, counted %d", waiting, j.Job, j.Waiting)
+		t.Fatalf("%d items of %s are waiting, counter says %d", waiting, j.Job, j.Waiting)
 	}
 }
 
-func claimedAt(b *Book, engine ident.BackendName) int {
+func claimedAt(b *State, engine ident.BackendName) int {
 	n := 0
 	for _, j := range b.Jobs {
 		for _, i := range j.Items {
@@ -289,9 +288,9 @@
 }
 
 func (m *ledgerModel) checkPositions(t *rapid.T, j *Job) {
-	before := m.listed[j.Job]
+	before := m.seenResults[j.Job]
 	if len(j.Results) < len(before) || (len(before) > 0 && !reflect.DeepEqual(j.Results[:len(before)], before)) {
-		t.Fatalf("results of %s have moved", j.Job)
+		t.Fatalf("results of %s have changed position", j.Job)
 	}
 	seen := map[int]bool{}
 	for _, r := range j.Results {
@@ -300,53 +299,52 @@
 		}
 		seen[r.Index] = true
 	}
-	m.listed[j.Job] = append([]Result(nil), j.Results...)
+	m.seenResults[j.Job] = append([]Result(nil), j.Results...)
 }
 
 func TestLedgerOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ledgerModel{book: NewBook(), listed: map[ident.Job][]Result{}, accepted: map[ident.Job]int{}}
+		m := &ledgerModel{state: NewState(), seenResults: map[ident.Job][]Result{}, accepted: map[ident.Job]int{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"accept": m.accept, "claim": m.claim, "finish": m.finish, "yield": m.yield, "end": m.end,
-			"beat": m.beat, "again": m.again, "rebuild": m.rebuild, "": m.check,
+			"beat": m.beat, "again": m.repeat, "rebuild": m.rebuild, "": m.check,
 		})
 	})
 }
 
-// An instance that starts reads what others wrote minutes ago: it must not keep
-// items from engines for it, but wait out leases as if it were new.
+// Guards against an instance that, on start, avoids engines because of old records, and
+// against one that shortens the lease of an old load order.
 func TestReadInArrears(t *testing.T) {
 	for _, current := range []bool{true, false} {
-		b := NewBook()
-		b.Current = current
+		b := NewState()
+		b.UpToDate = current
 		const now = 100 * clock.Second
 		b.Apply(1, Hold{Role: "r", By: "i"}, now)
-		b.Apply(2, Order{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2}, now)
+		b.Apply(2, LoadOrder{Role: "r", Fence: 1, Engine: "e", Model: "m", Version: 2}, now)
 		b.Apply(3, Avoid{By: "i", Engine: "e", Millis: 400}, now)
 		b.Apply(4, accept("j", 1, "a"), now)
-		if avoided := b.Avoided["e"] > now; avoided != current {
+		if avoided := b.AvoidedUntil["e"] > now; avoided != current {
 			t.Errorf("current %v: engine avoided %v", current, avoided)
 		}
-		if loading := b.Weights[EngineModel{Engine: "e", Model: "m"}].OrderSeen == now; loading != current {
+		if loading := b.Weights[EngineModel{Engine: "e", Model: "m"}].OrderSeenAt == now; loading != current {
 			t.Errorf("current %v: order counts as just given %v", current, loading)
 		}
-		if b.LastOrders["e"].Seen != now {
-			t.Errorf("current %v: the lease counts from %d, want %d", current, b.LastOrders["e"].Seen, now)
+		if b.LastOrders["e"].SeenAt != now {
+			t.Errorf("current %v: the lease counts from %d, want %d", current, b.LastOrders["e"].SeenAt, now)
 		}
-		if b.Jobs["j"].Backlog == current {
-			t.Errorf("current %v: backlog %v", current, b.Jobs["j"].Backlog)
+		if b.Jobs["j"].FromBacklog == current {
+			t.Errorf("current %v: backlog %v", current, b.Jobs["j"].FromBacklog)
 		}
 	}
 }
 
-// Records of programs that did not know of dealers are in the ledger when an instance
-// is upgraded.
+// Guards the decoding of records that were written before the Dealer field existed.
 func TestClaimWithoutDealer(t *testing.T) {
 	want := Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 1, Replaces: 4}}}
 	data := Encode(want)
 	got, err := Decode(data[:len(data)-1])
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, error %v, want %+v", got, err, want)
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
 	if claim, _ := got.(Claim); claim.Writer() != "i" {
 		t.Errorf("written by %q, want the instance that runs the items", claim.Writer())
--- a/kernel/jobs/member.go
+++ b/kernel/jobs/member.go
@@ -5,114 +5,116 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-func (b *Book) beat(r Beat, now clock.Millis) {
-	if b.Members[r.By] == nil {
-		b.supersede(r.By)
+func (s *State) heartbeat(r Heartbeat, now clock.Millis) {
+	if s.Members[r.By] == nil {
+		s.supersede(r.By)
 	}
-	b.hear(r.By, now)
-	m := b.Members[r.By]
+	s.markHeard(r.By, now)
+	m := s.Members[r.By]
 	m.Zone, m.Address, m.Leaving = r.Zone, r.Address, r.Leaving
 }
 
-// Signs tells whether a record is a sign of life of the instance that wrote it.
-func Signs(r Record) bool {
+// IsSignOfLife reports whether a record proves that the instance that wrote it is alive.
+func IsSignOfLife(r Record) bool {
 	switch r.(type) {
-	case Beat, Claim, Yield, Keep, Finish, Avoid, Hold, Defer:
+	case Heartbeat, Claim, Yield, SavePartial, Finish, Avoid, Hold, Defer:
 		return true
 	default:
 		return false
 	}
 }
 
-// supersede ends the earlier lives of an instance that has started again.
-func (b *Book) supersede(by ident.InstanceName) {
-	for _, m := range b.Members {
+// supersede marks the earlier runs of an instance as replaced by a restart.
+func (s *State) supersede(by ident.InstanceName) {
+	for _, m := range s.Members {
 		if m.Name.ListName() == by.ListName() {
-			m.Over = true
+			m.Superseded = true
 		}
 	}
 }
 
-func (b *Book) hear(by ident.InstanceName, now clock.Millis) {
-	m := b.Members[by]
+func (s *State) markHeard(by ident.InstanceName, now clock.Millis) {
+	m := s.Members[by]
 	if m == nil {
 		m = &Member{Name: by}
-		b.Members[by] = m
+		s.Members[by] = m
 	}
-	m.Heard = now
+	m.LastHeard = now
 }
 
-// Live returns the members that were heard since the given time of this reader,
-// take work and have not been started anew.
-func (b *Book) Live(since clock.Millis) []Member {
+// Live returns the members heard since the given time on this reader's clock that
+// accept work and are not superseded. The order is random.
+func (s *State) Live(since clock.Millis) []Member {
 	var live []Member
-	for _, m := range b.Members {
-		if m.takesWork(since) {
+	for _, m := range s.Members {
+		if m.acceptsWork(since) {
 			live = append(live, *m)
 		}
 	}
 	return live
 }
 
-// LiveCount returns how many members Live would return.
-func (b *Book) LiveCount(since clock.Millis) int {
+// LiveCount returns the number of members that Live would return.
+func (s *State) LiveCount(since clock.Millis) int {
 	n := 0
-	for _, m := range b.Members {
-		if m.takesWork(since) {
+	for _, m := range s.Members {
+		if m.acceptsWork(since) {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *Member) takesWork(since clock.Millis) bool {
-	return !m.Leaving && !m.Over && m.Heard >= since
+func (m *Member) acceptsWork(since clock.Millis) bool {
+	return !m.Leaving && !m.Superseded && m.LastHeard >= since
 }
 
-// Alive tells whether a member may still be doing what it claimed.
-func (b *Book) Alive(name ident.InstanceName, since clock.Millis) bool {
-	m := b.Members[name]
-	return m != nil && !m.Over && m.Heard >= since
+// Alive reports whether a member may still be running what it claimed: it was heard
+// since the given time and is not superseded.
+func (s *State) Alive(name ident.InstanceName, since clock.Millis) bool {
+	m := s.Members[name]
+	return m != nil && !m.Superseded && m.LastHeard >= since
 }
 
-// Shift moves the times at which members were heard and engines are to be used
-// again by a span in which this reader could not read: silence that nobody
-// could hear does not count.
-func (b *Book) Shift(span clock.Millis) {
-	for _, m := range b.Members {
-		m.Heard += span
+// ShiftLastHeard adds span to the time at which each member was last heard. It
+// compensates for a period in which this reader could not read the ledger: members
+// must not look silent because of it.
+func (s *State) ShiftLastHeard(span clock.Millis) {
+	for _, m := range s.Members {
+		m.LastHeard += span
 	}
 }
 
-func (b *Book) hold(offset ident.Offset, h Hold, now clock.Millis) {
-	b.hear(h.By, now)
-	if ident.Offset(b.Holds[h.Role].Fence) != h.Replaces {
+func (s *State) hold(offset ident.Offset, h Hold, now clock.Millis) {
+	s.markHeard(h.By, now)
+	if ident.Offset(s.RoleHolders[h.Role].Fence) != h.Replaces {
 		return
 	}
-	b.Holds[h.Role] = Holding{By: h.By, Fence: ident.Fence(offset)}
+	s.RoleHolders[h.Role] = RoleHolder{By: h.By, Fence: ident.Fence(offset)}
 }
 
-// longAgo is longer than any load takes.
-const longAgo = 60 * clock.Second
+// staleOrderAge backdates orders from the backlog. It exceeds the time that any load
+// takes.
+const staleOrderAge = 60 * clock.Second
 
-func (b *Book) order(o Order, now clock.Millis) {
-	holding := b.Holds[o.Role]
-	if holding.Fence != o.Fence {
+func (s *State) loadOrder(o LoadOrder, now clock.Millis) {
+	holder := s.RoleHolders[o.Role]
+	if holder.Fence != o.Fence {
 		return
 	}
-	b.LastOrders[o.Engine.ListName()] = LastOrder{By: holding.By, Fence: o.Fence, Seen: now}
+	s.LastOrders[o.Engine.ListName()] = LastOrder{By: holder.By, Fence: o.Fence, SeenAt: now}
 	key := EngineModel{Engine: o.Engine, Model: o.Model}
-	w := b.Weights[key]
-	w.Ordered, w.OrderSeen = o.Version, now
-	if !b.Current {
-		w.OrderSeen = now - longAgo
+	w := s.Weights[key]
+	w.Ordered, w.OrderSeenAt = o.Version, now
+	if !s.UpToDate {
+		w.OrderSeenAt = now - staleOrderAge
 	}
-	b.Weights[key] = w
+	s.Weights[key] = w
 }
 
-func (b *Book) loaded(l Loaded) {
+func (s *State) loaded(l Loaded) {
 	key := EngineModel{Engine: l.Engine, Model: l.Model}
-	w := b.Weights[key]
+	w := s.Weights[key]
 	w.Version = max(w.Version, l.Version)
-	b.Weights[key] = w
+	s.Weights[key] = w
 }
--- /dev/null
+++ b/kernel/jobs/state.go
@@ -0,0 +1,397 @@
+package jobs
+
+import (
+	"croftmoor.dev/kernel/clock"
+	"croftmoor.dev/kernel/ident"
+)
+
+// Item is the state of one item of a job.
+type Item struct {
+	ItemSpec
+	// Owner, Engine and Claim describe the current claim; Claim is 0 if there is none.
+	Owner  ident.InstanceName
+	Engine ident.BackendName
+	Claim  ident.Offset
+	// Done reports whether the item has a result.
+	Done bool
+	// Partial is the longest saved prefix of the text, or the whole text.
+	Partial Partial
+	// CarriedOver reports whether an earlier job contained the item. The trainer is
+	// already waiting for such an item.
+	CarriedOver bool
+	// FailedOn lists the engines that failed the item, one entry per failure.
+	FailedOn []ident.BackendName
+	// Yields counts how often the item was released without a result.
+	Yields int
+	// DeferredUntil is the time on this reader's clock before which no engine gets the
+	// item.
+	DeferredUntil clock.Millis
+}
+
+// Result is the result of the item at Index.
+type Result struct {
+	Index int
+	Finish
+}
+
+// ItemKey identifies an item of a job.
+type ItemKey struct {
+	Job   ident.Job
+	Index int
+}
+
+// Job is the state of a job. Its Accept.Items is nil: the item specs are in Items.
+type Job struct {
+	Accept
+	Items   []Item
+	Results []Result
+	// Waiting counts the items that have neither a result nor a current claim.
+	Waiting int
+	// GroupLengths is the expected length of each group: that of its longest item.
+	GroupLengths map[ident.Group]ident.Tokens
+	// CarriedOverGroups are the groups with at least one carried-over item.
+	CarriedOverGroups map[ident.Group]bool
+	Ended             bool
+	// SeenAt is when this reader read the Accept record.
+	SeenAt clock.Millis
+	// FromBacklog reports whether the Accept record was read late, in which case SeenAt
+	// does not approximate the time of acceptance.
+	FromBacklog bool
+	// EndSeenAt is when this reader read the End record.
+	EndSeenAt clock.Millis
+}
+
+// Open reports whether the job has not ended and still lacks results.
+func (j *Job) Open() bool {
+	return !j.Ended && len(j.Results) < len(j.Items)
+}
+
+// Member is an instance that has written to the ledger.
+type Member struct {
+	Name    ident.InstanceName
+	Zone    ident.Zone
+	Address ident.Address
+	Leaving bool
+	// Superseded reports whether the same instance has restarted under a new name.
+	Superseded bool
+	// LastHeard is when this reader last read a record that is a sign of life.
+	LastHeard clock.Millis
+}
+
+// RoleHolder is the current holder of a role.
+type RoleHolder struct {
+	By    ident.InstanceName
+	Fence ident.Fence
+}
+
+// Weights is what the ledger records about the weights of a model on an engine.
+type Weights struct {
+	// Version is the newest version that was observed as loaded.
+	Version ident.Version
+	// Ordered is the version of the last load order, read at OrderSeenAt. Orders from the
+	// backlog are backdated by staleOrderAge.
+	Ordered     ident.Version
+	OrderSeenAt clock.Millis
+}
+
+// LastOrder is the last load order to an engine, for any model: By issued it under
+// Fence, and this reader read it at SeenAt.
+type LastOrder struct {
+	By     ident.InstanceName
+	Fence  ident.Fence
+	SeenAt clock.Millis
+}
+
+// LoadedVersion returns the newest version known to be loaded: the ledger's or the one
+// that the engine itself reported, which may be older.
+func (s *State) LoadedVersion(key EngineModel, reported ident.Version) ident.Version {
+	return max(s.Weights[key].Version, reported)
+}
+
+// EngineModel identifies the weights of a model on an engine.
+type EngineModel struct {
+	Engine ident.BackendName
+	Model  ident.Model
+}
+
+// Load is the sum of the items that are currently claimed for an engine.
+type Load struct {
+	Items int
+	// Expect is the sum of the items' expected tokens.
+	Expect ident.Tokens
+}
+
+// Pace is the speed of an engine, estimated from the Timing of its runs.
+type Pace struct {
+	// MillisPerEvent is the moving average of milliseconds per event; 0 means unknown.
+	MillisPerEvent float64
+}
+
+// State is the state folded from the ledger's records. It has no lock of its own.
+// Records must be applied in the order of their offsets.
+type State struct {
+	Jobs map[ident.Job]*Job
+	// JobOrder lists the jobs in the order of their acceptance.
+	JobOrder []ident.Job
+	Members  map[ident.InstanceName]*Member
+	// RoleHolders maps a role to its current holder.
+	RoleHolders map[string]RoleHolder
+	Weights     map[EngineModel]Weights
+	// LastOrders holds the last load order to each engine, by the engine's ListName: a
+	// lease is not cut short by a restart of the engine.
+	LastOrders map[string]LastOrder
+	// Claims indexes the currently claimed items by their owner.
+	Claims map[ident.InstanceName]map[ItemKey]struct{}
+	Loads  map[ident.BackendName]Load
+	Paces  map[ident.BackendName]Pace
+	// FailureRates is the moving average of the share of runs that each engine failed.
+	FailureRates map[ident.BackendName]float64
+	// AvoidedUntil is the time on this reader's clock before which an engine gets no items.
+	AvoidedUntil map[ident.BackendName]clock.Millis
+	// UpToDate is set while records are read as they are written, not from the backlog.
+	UpToDate bool
+	// LatestJob maps an item to the newest job that contains it.
+	LatestJob map[ident.Item]ident.Job
+	// Usage holds the request counts of each accounting window.
+	Usage map[ident.Window]*WindowUsage
+	// Next is the offset after the last applied record.
+	Next ident.Offset
+}
+
+// NewState returns an empty state.
+func NewState() *State {
+	return &State{
+		Jobs: map[ident.Job]*Job{}, Members: map[ident.InstanceName]*Member{}, RoleHolders: map[string]RoleHolder{},
+		Weights: map[EngineModel]Weights{}, LastOrders: map[string]LastOrder{}, Loads: map[ident.BackendName]Load{}, Paces: map[ident.BackendName]Pace{},
+		LatestJob: map[ident.Item]ident.Job{}, AvoidedUntil: map[ident.BackendName]clock.Millis{},
+		Claims: map[ident.InstanceName]map[ItemKey]struct{}{}, FailureRates: map[ident.BackendName]float64{},
+		Usage: map[ident.Window]*WindowUsage{},
+	}
+}
+
+// Apply folds the record at offset into the state. The parameter now is the time on
+// this reader's monotonic clock; readers with different clocks must still agree on
+// claims, results and role holders.
+func (s *State) Apply(offset ident.Offset, record Record, now clock.Millis) {
+	s.Next = offset + 1
+	switch r := record.(type) {
+	case Accept:
+		s.accept(r, now)
+	case Claim:
+		s.claim(offset, r, now)
+	case Yield:
+		s.yield(r, now)
+	case SavePartial:
+		s.savePartial(r, now)
+	case Finish:
+		s.finish(r, now)
+	case End:
+		s.end(r, now)
+	case Heartbeat:
+		s.heartbeat(r, now)
+	case Hold:
+		s.hold(offset, r, now)
+	case LoadOrder:
+		s.loadOrder(r, now)
+	case Loaded:
+		s.loaded(r)
+	case UsageDelta, UsageTotal, UsageReported:
+		s.applyUsage(r)
+	case Avoid:
+		s.avoid(r, now)
+	case Defer:
+		s.defers(r, now)
+	}
+}
+
+func (s *State) accept(a Accept, now clock.Millis) {
+	if s.Jobs[a.Job] != nil {
+		return
+	}
+	job := &Job{
+		Accept: a, SeenAt: now, FromBacklog: !s.UpToDate, Items: make([]Item, len(a.Items)), Waiting: len(a.Items),
+		GroupLengths: map[ident.Group]ident.Tokens{}, CarriedOverGroups: map[ident.Group]bool{},
+	}
+	for i, spec := range a.Items {
+		job.Items[i] = s.newItem(a, spec)
+		job.GroupLengths[spec.Group] = max(job.GroupLengths[spec.Group], spec.Expect)
+		if job.Items[i].CarriedOver {
+			job.CarriedOverGroups[spec.Group] = true
+		}
+		s.LatestJob[spec.ID] = a.Job
+	}
+	job.Accept.Items = nil
+	s.Jobs[a.Job] = job
+	s.JobOrder = append(s.JobOrder, a.Job)
+}
+
+// newItem returns the initial state of an item. If an earlier job contained the item,
+// its saved text is reused where the job's version limits allow.
+func (s *State) newItem(a Accept, spec ItemSpec) Item {
+	item := Item{ItemSpec: spec}
+	earlier := s.Jobs[s.LatestJob[spec.ID]]
+	if earlier == nil {
+		return item
+	}
+	item.CarriedOver = true
+	for _, old := range earlier.Items {
+		if old.ID == spec.ID && old.Partial.Fits(a.MinVersion, a.SingleVersion) {
+			item.Partial = old.Partial
+		}
+	}
+	return item
+}
+
+// unfinishedItem returns nil if the item does not exist or already has a result.
+func (s *State) unfinishedItem(id ident.Job, index int) (*Job, *Item) {
+	job := s.Jobs[id]
+	if job == nil || index < 0 || index >= len(job.Items) || job.Items[index].Done {
+		return nil, nil
+	}
+	return job, &job.Items[index]
+}
+
+func (s *State) claim(offset ident.Offset, c Claim, now clock.Millis) {
+	s.markHeard(c.Writer(), now)
+	for _, t := range c.Targets {
+		job, item := s.unfinishedItem(c.Job, t.Index)
+		if item == nil || job.Ended || item.Claim != t.Replaces {
+			continue
+		}
+		s.release(job, t.Index)
+		s.assign(job, t.Index, c, offset)
+	}
+}
+
+// assign records a claim on an item that has none.
+func (s *State) assign(job *Job, index int, c Claim, offset ident.Offset) {
+	item := &job.Items[index]
+	item.Owner, item.Engine, item.Claim = c.By, c.Engine, offset
+	s.adjustLoad(item, 1)
+	job.Waiting--
+	if s.Claims[c.By] == nil {
+		s.Claims[c.By] = map[ItemKey]struct{}{}
+	}
+	s.Claims[c.By][ItemKey{Job: job.Job, Index: index}] = struct{}{}
+}
+
+// release removes the item's current claim, if any.
+func (s *State) release(job *Job, index int) {
+	item := &job.Items[index]
+	if item.Claim == 0 {
+		return
+	}
+	s.adjustLoad(item, -1)
+	job.Waiting++
+	delete(s.Claims[item.Owner], ItemKey{Job: job.Job, Index: index})
+	if len(s.Claims[item.Owner]) == 0 {
+		delete(s.Claims, item.Owner)
+	}
+	item.Owner, item.Engine, item.Claim = "", "", 0
+}
+
+// adjustLoad adds the item to the load of its engine (sign 1) or removes it (-1).
+func (s *State) adjustLoad(item *Item, sign int) {
+	load := s.Loads[item.Engine]
+	load.Items += sign
+	load.Expect += ident.Tokens(sign) * item.Expect
+	if load.Items <= 0 {
+		delete(s.Loads, item.Engine)
+		return
+	}
+	s.Loads[item.Engine] = load
+}
+
+func (s *State) yield(y Yield, now clock.Millis) {
+	s.markHeard(y.By, now)
+	s.updatePace(y.Timing)
+	job, item := s.unfinishedItem(y.Job, y.Index)
+	if item == nil {
+		return
+	}
+	item.updatePartial(y.Partial)
+	if item.Owner == y.By {
+		if y.Failed {
+			item.FailedOn = append(item.FailedOn, item.Engine)
+			s.updateFailureRate(item.Engine, 1)
+		}
+		s.release(job, y.Index)
+		item.Yields++
+	}
+}
+
+// defers blocks an item on all engines for the record's duration. Records from the
+// backlog are ignored, since their duration is over or nearly so.
+func (s *State) defers(d Defer, now clock.Millis) {
+	s.markHeard(d.By, now)
+	if _, item := s.unfinishedItem(d.Job, d.Index); item != nil && s.UpToDate {
+		item.DeferredUntil = max(item.DeferredUntil, now+clock.Millis(d.Millis))
+	}
+}
+
+func (s *State) savePartial(k SavePartial, now clock.Millis) {
+	s.markHeard(k.By, now)
+	if _, item := s.unfinishedItem(k.Job, k.Index); item != nil {
+		item.updatePartial(k.Partial)
+	}
+}
+
+// updatePartial replaces the saved text if p is longer or completes it.
+func (i *Item) updatePartial(p Partial) {
+	if p.Events > i.Partial.Events || (p.Complete && !i.Partial.Complete) {
+		i.Partial = p
+	}
+}
+
+func (s *State) finish(f Finish, now clock.Millis) {
+	s.markHeard(f.By, now)
+	s.updatePace(f.Timing)
+	job, item := s.unfinishedItem(f.Job, f.Index)
+	if item == nil {
+		return
+	}
+	if item.Claim != 0 && f.Outcome == Completed {
+		s.updateFailureRate(item.Engine, 0)
+	}
+	s.release(job, f.Index)
+	job.Waiting--
+	item.Done = true
+	item.Partial = Partial{}
+	if f.Outcome == Completed {
+		item.Partial = Partial{Texts: f.Texts, Events: f.Events, Versions: f.Versions, Complete: true}
+	}
+	job.Results = append(job.Results, Result{Index: f.Index, Finish: f})
+}
+
+func (s *State) end(e End, now clock.Millis) {
+	job := s.Jobs[e.Job]
+	if job == nil || job.Ended {
+		return
+	}
+	job.Ended = true
+	job.EndSeenAt = now
+	for i := range job.Items {
+		s.release(job, i)
+	}
+}
+
+// Forget drops the jobs whose acceptance was read before the given time on this
+// reader's clock, whether or not they have ended.
+func (s *State) Forget(before clock.Millis) {
+	kept := s.JobOrder[:0]
+	for _, id := range s.JobOrder {
+		job := s.Jobs[id]
+		if job.SeenAt >= before {
+			kept = append(kept, id)
+			continue
+		}
+		for i := range job.Items {
+			s.release(job, i)
+			if s.LatestJob[job.Items[i].ID] == id {
+				delete(s.LatestJob, job.Items[i].ID)
+			}
+		}
+		delete(s.Jobs, id)
+	}
+	s.JobOrder = kept
+}
