--- a/croftmoor/batch/alone.go
+++ b/croftmoor/batch/alone.go
@@ -39,11 +39,11 @@
 			return
 		}
 		s.addPieces()
-		for _, d := range deal.Spread(r.share(s), r.ownEngines(s), 0, s.allowed) {
-			job := b.Jobs[d.Piece.Job]
-			item := *s.item(d.Piece)
+		for _, d := range deal.Assign(r.share(s), r.ownEngines(s), 0, s.allowed) {
+			job := b.Jobs[d.Item.Job]
+			item := *s.item(d.Item)
 			item.Claim, item.Owner, item.Engine = 0, r.Self, d.Engine
-			begin = append(begin, claimed{key: jobs.ItemKey{Job: job.Job, Index: d.Piece.Target.Index}, item: item, accept: job.Accept})
+			begin = append(begin, claimed{key: jobs.ItemKey{Job: job.Job, Index: d.Item.Target.Index}, item: item, accept: job.Accept})
 		}
 	})
 	for _, c := range begin {
@@ -57,9 +57,9 @@
 
 // share returns the waiting items that fall to engines of this instance and that it
 // does not run already; mu is held.
-func (r *Runner) share(s *survey) []deal.Piece {
-	var mine []deal.Piece
-	fixed := deal.NewFixed(s.engines, s.allowed)
+func (r *Runner) share(s *survey) []deal.RankedItem {
+	var mine []deal.RankedItem
+	fixed := deal.NewRendezvous(s.engines, s.allowed)
 	for _, p := range s.pieces {
 		if r.runs[jobs.ItemKey{Job: p.Job, Index: p.Target.Index}] != nil {
 			continue
--- a/croftmoor/batch/dealer.go
+++ b/croftmoor/batch/dealer.go
@@ -75,7 +75,7 @@
 		dealt := func(e deal.Engine) bool { return r.dealer(s.services[e.Name]) == r.Self }
 		if s.room(dealt, overbook) {
 			s.addPieces()
-			claims = r.claims(s, deal.Spread(s.pieces, s.only(dealt), overbook, s.allowed))
+			claims = r.claims(s, deal.Assign(s.pieces, s.only(dealt), overbook, s.allowed))
 		}
 		own := func(e deal.Engine) bool { return s.actor[e.Name] == r.Self && !dealt(e) }
 		if s.now < r.looked+lookPause {
@@ -97,7 +97,7 @@
 func (r *Runner) unaided(s *survey, own func(deal.Engine) bool) []jobs.Claim {
 	idle := map[ident.BackendName]clock.Millis{}
 	longest := clock.Millis(0)
-	for _, d := range deal.Spread(s.pieces, s.only(own), 0, s.allowed) {
+	for _, d := range deal.Assign(s.pieces, s.only(own), 0, s.allowed) {
 		since, known := r.idle[d.Engine]
 		if !known {
 			since = s.now
@@ -117,7 +117,7 @@
 	if longest <= aloneTerm {
 		pieces = r.share(s)
 	}
-	return r.claims(s, deal.Spread(pieces, s.only(rested), 0, s.allowed))
+	return r.claims(s, deal.Assign(pieces, s.only(rested), 0, s.allowed))
 }
 
 // claims turns a deal into claims, one for each job and engine, and leaves out what
@@ -130,21 +130,21 @@
 	at := map[target]int{}
 	var claims []jobs.Claim
 	for _, d := range deals {
-		if r.pending[jobs.ItemKey{Job: d.Piece.Job, Index: d.Piece.Target.Index}] {
+		if r.pending[jobs.ItemKey{Job: d.Item.Job, Index: d.Item.Target.Index}] {
 			continue
 		}
-		key := target{job: d.Piece.Job, engine: d.Engine}
+		key := target{job: d.Item.Job, engine: d.Engine}
 		n, ok := at[key]
 		if !ok {
 			n = len(claims)
 			at[key] = n
-			claims = append(claims, jobs.Claim{Job: d.Piece.Job, By: s.actor[d.Engine], Engine: d.Engine, Dealer: r.Self})
+			claims = append(claims, jobs.Claim{Job: d.Item.Job, By: s.actor[d.Engine], Engine: d.Engine, Dealer: r.Self})
 		}
-		claims[n].Targets = append(claims[n].Targets, d.Piece.Target)
+		claims[n].Targets = append(claims[n].Targets, d.Item.Target)
 		r.Trail.Add(trail.Decision{
-			ID: string(s.item(d.Piece).ID), Action: trail.Place, Choice: string(d.Engine),
+			ID: string(s.item(d.Item).ID), Action: trail.Place, Choice: string(d.Engine),
 			Reason: fmt.Sprintf("job %s, expects %d tokens, %s, load %d, run by %s, ledger %d",
-				d.Piece.Job, d.Piece.Expect, d.Piece.Rank, s.book.Loads[d.Engine].Items, s.actor[d.Engine], s.book.Next),
+				d.Item.Job, d.Item.Expect, d.Item.Rank, s.book.Loads[d.Engine].Items, s.actor[d.Engine], s.book.Next),
 		})
 	}
 	return claims
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -17,7 +17,7 @@
 // valid only while that state is viewed.
 type survey struct {
 	book    *jobs.Book
-	pieces  []deal.Piece
+	pieces  []deal.RankedItem
 	added   bool
 	engines []deal.Engine
 	// median is the usual time of an event at these engines.
@@ -39,7 +39,7 @@
 }
 
 // item returns the item of a piece.
-func (s *survey) item(p deal.Piece) *jobs.Item {
+func (s *survey) item(p deal.RankedItem) *jobs.Item {
 	return &s.book.Jobs[p.Job].Items[p.Target.Index]
 }
 
@@ -119,15 +119,15 @@
 	s.added = true
 	s.median = deal.MedianPace(s.engines)
 	for _, job := range s.waiting() {
-		var waits []deal.Wait
+		var waits []deal.PendingItem
 		for n := range job.Items {
 			item := &job.Items[n]
 			if item.Done || (item.Claim != 0 && !s.silent[item.Owner]) || s.now < item.Deferred {
 				continue
 			}
-			waits = append(waits, deal.Wait{
+			waits = append(waits, deal.PendingItem{
 				Target: jobs.Target{Index: n, Replaces: item.Claim}, Group: item.Group, Expect: item.Expect,
-				Patient: s.patient(job, item), Not: s.not(item),
+				Deferrable: s.patient(job, item), FailedOn: s.not(item),
 			})
 		}
 		s.pieces = append(s.pieces, deal.Order(job.Job, waits, job.Wanted, job.Longest, job.Brought)...)
@@ -199,7 +199,7 @@
 			s.services[name] = service
 			s.engines = append(s.engines, deal.Engine{
 				Name: name, Slots: cmp.Or(m.Slots, settings.Slots, 1), Load: s.book.Loads[name], PerEvent: s.book.Paces[name].PerEvent,
-				Faults: s.book.Faults[name],
+				FailureRate: s.book.Faults[name],
 			})
 			for _, model := range settings.Models {
 				if version, ready := Version(s.book, m, model, now); ready {
--- a/kernel/deal/deal.go
+++ b/kernel/deal/deal.go
@@ -21,8 +21,8 @@
 	// PerEvent is the observed time of an event in milliseconds while nothing runs
 	// beside; 0 is unknown.
 	PerEvent float64
-	// Faults is the share of its runs that the engine itself fails.
-	Faults float64
+	// FailureRate is the share of its runs that the engine itself fails.
+	FailureRate float64
 }
 
 // Rank tells how a step depends on an item.
@@ -30,44 +30,44 @@
 
 // Ranks.
 const (
-	// Brought items are of a group that an earlier step did not finish: the
+	// CarriedOver items are of a group that an earlier step did not finish: the
 	// trainer waits for them whatever else is whole.
-	Brought Rank = "brought"
-	// Wanted items are expected to be among those that the trainer waits for.
-	Wanted Rank = "wanted"
-	// Spare items are of the groups that are expected to take longest, beyond
+	CarriedOver Rank = "brought"
+	// Required items are expected to be among those that the trainer waits for.
+	Required Rank = "wanted"
+	// Surplus items are of the groups that are expected to take longest, beyond
 	// those that the trainer waits for.
-	Spare Rank = "spare"
+	Surplus Rank = "spare"
 )
 
-// Piece is an item that waits.
-type Piece struct {
+// RankedItem is an item that waits.
+type RankedItem struct {
 	Job    ident.Job
 	Target jobs.Target
 	Expect ident.Tokens
 	Rank   Rank
-	// Patient items end in time also if they start later. They fill engines to a part
+	// Deferrable items end in time also if they start later. They fill engines to a part
 	// only: what runs beside a long item makes it longer.
-	Patient bool
-	// Not are the engines that have failed the item; it goes to another one.
-	Not []ident.BackendName
+	Deferrable bool
+	// FailedOn are the engines that have failed the item; it goes to another one.
+	FailedOn []ident.BackendName
 }
 
 // Assignment gives a piece to an engine.
 type Assignment struct {
-	Piece  Piece
+	Item   RankedItem
 	Engine ident.BackendName
 }
 
-// Wait is an item of a job that has neither a result nor a claim that stands.
-type Wait struct {
+// PendingItem is an item of a job that has neither a result nor a claim that stands.
+type PendingItem struct {
 	Target jobs.Target
 	Group  ident.Group
 	Expect ident.Tokens
-	// Patient tells that the item ends in time also if it starts later.
-	Patient bool
-	// Not are the engines that have failed the item.
-	Not []ident.BackendName
+	// Deferrable tells that the item ends in time also if it starts later.
+	Deferrable bool
+	// FailedOn are the engines that have failed the item.
+	FailedOn []ident.BackendName
 }
 
 // Order returns the waiting items of a job in the order in which they should
@@ -75,20 +75,20 @@
 // many groups its trainer waits for, out of all; the groups that are expected to
 // take longest beyond these come last, except brought ones. Longest gives the
 // expected length of each group of the job, its finished items included.
-func Order(job ident.Job, waits []Wait, wanted int, longest map[ident.Group]ident.Tokens, brought map[ident.Group]bool) []Piece {
+func Order(job ident.Job, waits []PendingItem, wanted int, longest map[ident.Group]ident.Tokens, brought map[ident.Group]bool) []RankedItem {
 	spare := spareGroups(wanted, longest, brought)
-	pieces := make([]Piece, 0, len(waits))
+	pieces := make([]RankedItem, 0, len(waits))
 	for _, w := range waits {
-		rank := Wanted
+		rank := Required
 		switch {
 		case brought[w.Group]:
-			rank = Brought
+			rank = CarriedOver
 		case spare[w.Group]:
-			rank = Spare
+			rank = Surplus
 		}
-		pieces = append(pieces, Piece{Job: job, Target: w.Target, Expect: w.Expect, Rank: rank, Patient: w.Patient, Not: w.Not})
+		pieces = append(pieces, RankedItem{Job: job, Target: w.Target, Expect: w.Expect, Rank: rank, Deferrable: w.Deferrable, FailedOn: w.FailedOn})
 	}
-	slices.SortStableFunc(pieces, func(a, b Piece) int {
+	slices.SortStableFunc(pieces, func(a, b RankedItem) int {
 		return cmp.Or(cmp.Compare(b.Expect, a.Expect), cmp.Compare(a.Target.Index, b.Target.Index))
 	})
 	return pieces
@@ -135,10 +135,10 @@
 	faultCost = 2
 )
 
-// Spread gives the pieces, in their order, to the engines with the shortest
+// Assign gives the pieces, in their order, to the engines with the shortest
 // expected time of an event. Over is how many pieces an engine may hold beyond
 // its slots. Allowed tells whether an engine can run a job's items now.
-func Spread(pieces []Piece, engines []Engine, over int, allowed func(ident.BackendName, ident.Job) bool) []Assignment {
+func Assign(pieces []RankedItem, engines []Engine, over int, allowed func(ident.BackendName, ident.Job) bool) []Assignment {
 	engines = slices.Clone(engines)
 	median := MedianPace(engines)
 	fits := map[ident.Job][]bool{}
@@ -148,12 +148,12 @@
 			fits[piece.Job] = fitting(engines, piece.Job, allowed)
 		}
 		fit := fits[piece.Job]
-		choosy := count(fit) > len(piece.Not)
+		choosy := count(fit) > len(piece.FailedOn)
 		best := -1
 		cost := math.Inf(1)
 		for i := range engines {
 			e := &engines[i]
-			if !fit[i] || e.Load.Items >= e.room(piece, over) || (choosy && slices.Contains(piece.Not, e.Name)) {
+			if !fit[i] || e.Load.Items >= e.room(piece, over) || (choosy && slices.Contains(piece.FailedOn, e.Name)) {
 				continue
 			}
 			if c := e.Cost(median); c < cost {
@@ -165,14 +165,14 @@
 		}
 		engines[best].Load.Items++
 		engines[best].Load.Expect += piece.Expect
-		deals = append(deals, Assignment{Piece: piece, Engine: engines[best].Name})
+		deals = append(deals, Assignment{Item: piece, Engine: engines[best].Name})
 	}
 	return deals
 }
 
 // room returns how many items an engine may hold for the sake of a piece.
-func (e *Engine) room(piece Piece, over int) int {
-	if piece.Patient {
+func (e *Engine) room(piece RankedItem, over int) int {
+	if piece.Deferrable {
 		return int(math.Ceil(patientShare * float64(e.Slots)))
 	}
 	return e.Slots + over
@@ -204,12 +204,12 @@
 	if pace == 0 || math.Abs(pace-median) < likePace*median {
 		pace = median
 	}
-	pace *= 1 + faultCost*e.Faults
-	return pace * Crowd(e.Load)
+	pace *= 1 + faultCost*e.FailureRate
+	return pace * Slowdown(e.Load)
 }
 
-// Crowd returns how many times longer an event takes beside a load.
-func Crowd(load jobs.Load) float64 {
+// Slowdown returns how many times longer an event takes beside a load.
+func Slowdown(load jobs.Load) float64 {
 	return 1 + crowdItem*float64(load.Items) + crowdToken*float64(load.Expect)/1000
 }
 
--- a/kernel/deal/deal_test.go
+++ b/kernel/deal/deal_test.go
@@ -10,17 +10,17 @@
 
 func anywhere(ident.BackendName, ident.Job) bool { return true }
 
-func pieces(expects ...ident.Tokens) []Piece {
-	var list []Piece
+func pieces(expects ...ident.Tokens) []RankedItem {
+	var list []RankedItem
 	for i, e := range expects {
-		list = append(list, Piece{Job: "j", Target: jobs.Target{Index: i}, Expect: e})
+		list = append(list, RankedItem{Job: "j", Target: jobs.Target{Index: i}, Expect: e})
 	}
 	return list
 }
 
 func engineOf(t *testing.T, deals []Assignment, index int) ident.BackendName {
 	t.Helper()
-	at := slices.IndexFunc(deals, func(a Assignment) bool { return a.Piece.Target.Index == index })
+	at := slices.IndexFunc(deals, func(a Assignment) bool { return a.Item.Target.Index == index })
 	if at < 0 {
 		t.Fatalf("item %d is not dealt", index)
 	}
@@ -28,7 +28,7 @@
 }
 
 func TestOrder(t *testing.T) {
-	waits := []Wait{{Target: jobs.Target{Index: 0}, Group: "a", Expect: 5}, {Target: jobs.Target{Index: 1}, Group: "b", Expect: 9}, {Target: jobs.Target{Index: 2}, Group: "c", Expect: 7}}
+	waits := []PendingItem{{Target: jobs.Target{Index: 0}, Group: "a", Expect: 5}, {Target: jobs.Target{Index: 1}, Group: "b", Expect: 9}, {Target: jobs.Target{Index: 2}, Group: "c", Expect: 7}}
 	longest := map[ident.Group]ident.Tokens{"a": 5, "b": 9, "c": 7}
 	got := Order("j", waits, 2, longest, map[ident.Group]bool{"c": true})
 	var order []int
@@ -40,53 +40,53 @@
 	if !slices.Equal(order, []int{1, 2, 0}) {
 		t.Errorf("order %v, want longest first", order)
 	}
-	if !slices.Equal(ranks, []Rank{Spare, Brought, Wanted}) {
+	if !slices.Equal(ranks, []Rank{Surplus, CarriedOver, Required}) {
 		t.Errorf("ranks %v", ranks)
 	}
 }
 
 func TestSpread(t *testing.T) {
 	t.Run("no engine gets more than its slots and what is allowed beyond", func(t *testing.T) {
-		deals := Spread(pieces(1, 1, 1, 1, 1), []Engine{{Name: "e", Slots: 2}, {Name: "f", Slots: 1}}, 1, anywhere)
+		deals := Assign(pieces(1, 1, 1, 1, 1), []Engine{{Name: "e", Slots: 2}, {Name: "f", Slots: 1}}, 1, anywhere)
 		if len(deals) != 5 {
 			t.Errorf("%d dealt, want 5", len(deals))
 		}
-		if deals = Spread(pieces(1), []Engine{{Name: "e", Slots: 2, Load: jobs.Load{Items: 3}}}, 1, anywhere); len(deals) != 0 {
+		if deals = Assign(pieces(1), []Engine{{Name: "e", Slots: 2, Load: jobs.Load{Items: 3}}}, 1, anywhere); len(deals) != 0 {
 			t.Errorf("%d dealt to a full engine", len(deals))
 		}
 	})
 	t.Run("long items do not gather at one engine", func(t *testing.T) {
-		deals := Spread(pieces(9000, 9000), []Engine{{Name: "e", Slots: 9, PerEvent: 38}, {Name: "f", Slots: 9, PerEvent: 40}}, 0, anywhere)
+		deals := Assign(pieces(9000, 9000), []Engine{{Name: "e", Slots: 9, PerEvent: 38}, {Name: "f", Slots: 9, PerEvent: 40}}, 0, anywhere)
 		if engineOf(t, deals, 0) == engineOf(t, deals, 1) {
 			t.Error("both went to one engine")
 		}
 	})
 	t.Run("a slow engine comes last", func(t *testing.T) {
 		engines := []Engine{{Name: "e", Slots: 2, PerEvent: 140}, {Name: "f", Slots: 2, PerEvent: 40}, {Name: "g", Slots: 2, PerEvent: 41}}
-		deals := Spread(pieces(9, 8, 7, 6, 5), engines, 0, anywhere)
+		deals := Assign(pieces(9, 8, 7, 6, 5), engines, 0, anywhere)
 		if engineOf(t, deals, 4) != "e" || engineOf(t, deals, 3) == "e" {
 			t.Error("the slow engine did not get the shortest item")
 		}
 	})
 	t.Run("an item does not go back to the engine that failed it", func(t *testing.T) {
 		failed := pieces(9)
-		failed[0].Not = []ident.BackendName{"e"}
+		failed[0].FailedOn = []ident.BackendName{"e"}
 		two := []Engine{{Name: "e", Slots: 2, PerEvent: 40}, {Name: "f", Slots: 2, PerEvent: 90}}
-		if got := engineOf(t, Spread(failed, two, 0, anywhere), 0); got != "f" {
+		if got := engineOf(t, Assign(failed, two, 0, anywhere), 0); got != "f" {
 			t.Errorf("went to %s", got)
 		}
-		if got := engineOf(t, Spread(failed, two[:1], 0, anywhere), 0); got != "e" {
+		if got := engineOf(t, Assign(failed, two[:1], 0, anywhere), 0); got != "e" {
 			t.Errorf("went to %s, want the only one", got)
 		}
 	})
 	t.Run("an engine that fails half of its runs comes last", func(t *testing.T) {
-		list := []Engine{{Name: "e", Slots: 2, PerEvent: 40, Faults: 0.5}, {Name: "f", Slots: 2, PerEvent: 45}}
-		if got := engineOf(t, Spread(pieces(9), list, 0, anywhere), 0); got != "f" {
+		list := []Engine{{Name: "e", Slots: 2, PerEvent: 40, FailureRate: 0.5}, {Name: "f", Slots: 2, PerEvent: 45}}
+		if got := engineOf(t, Assign(pieces(9), list, 0, anywhere), 0); got != "f" {
 			t.Errorf("went to %s", got)
 		}
 	})
 	t.Run("an item goes only where it is allowed", func(t *testing.T) {
-		deals := Spread(pieces(1), []Engine{{Name: "e", Slots: 1}}, 0, func(ident.BackendName, ident.Job) bool { return false })
+		deals := Assign(pieces(1), []Engine{{Name: "e", Slots: 1}}, 0, func(ident.BackendName, ident.Job) bool { return false })
 		if len(deals) != 0 {
 			t.Error("dealt in spite of it")
 		}
@@ -96,13 +96,13 @@
 func TestPatientItemsLeaveRoom(t *testing.T) {
 	patient := pieces(1, 1, 1, 1, 1)
 	for i := range patient {
-		patient[i].Patient = true
+		patient[i].Deferrable = true
 	}
 	engines := []Engine{{Name: "e", Slots: 5}}
-	if deals := Spread(patient, engines, 1, anywhere); len(deals) != 4 {
+	if deals := Assign(patient, engines, 1, anywhere); len(deals) != 4 {
 		t.Errorf("%d patient items at an engine of 5 slots, want 4", len(deals))
 	}
-	if deals := Spread(append(patient, pieces(9, 9, 9)...), engines, 1, anywhere); len(deals) != 6 {
+	if deals := Assign(append(patient, pieces(9, 9, 9)...), engines, 1, anywhere); len(deals) != 6 {
 		t.Errorf("%d items with those that can't wait, want 6", len(deals))
 	}
 }
--- a/kernel/deal/fixed.go
+++ b/kernel/deal/fixed.go
@@ -6,11 +6,11 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Fixed says which engine an item falls to while nobody can say who runs what: by
+// Rendezvous says which engine an item falls to while nobody can say who runs what: by
 // weighted rendezvous hashing among the engines that can run its job, a faster one or
 // one with more slots counting more. Instances whose knowledge differs by an engine
 // differ only on that engine's items; a deal by load would differ on all that follow.
-type Fixed struct {
+type Rendezvous struct {
 	engines []Engine
 	// weights and hashes are by engine.
 	weights []float64
@@ -19,10 +19,10 @@
 	fits    map[ident.Job][]bool
 }
 
-// NewFixed returns what falls to which of the engines. Allowed tells whether an engine
+// NewRendezvous returns what falls to which of the engines. Allowed tells whether an engine
 // can run a job's items.
-func NewFixed(engines []Engine, allowed func(ident.BackendName, ident.Job) bool) *Fixed {
-	f := &Fixed{engines: engines, allowed: allowed, fits: map[ident.Job][]bool{}}
+func NewRendezvous(engines []Engine, allowed func(ident.BackendName, ident.Job) bool) *Rendezvous {
+	f := &Rendezvous{engines: engines, allowed: allowed, fits: map[ident.Job][]bool{}}
 	median := MedianPace(engines)
 	for i := range engines {
 		pace := engines[i].PerEvent
@@ -36,7 +36,7 @@
 }
 
 // Engine returns the engine that an item falls to, if one can run it.
-func (f *Fixed) Engine(item ident.Item, job ident.Job) (ident.BackendName, bool) {
+func (f *Rendezvous) Engine(item ident.Item, job ident.Job) (ident.BackendName, bool) {
 	if f.fits[job] == nil {
 		f.fits[job] = fitting(f.engines, job, f.allowed)
 	}
--- a/kernel/deal/fixed_test.go
+++ b/kernel/deal/fixed_test.go
@@ -20,7 +20,7 @@
 func TestFixed(t *testing.T) {
 	const items = 6000
 	where := func(engines []Engine, allowed func(ident.BackendName, ident.Job) bool) map[ident.Item]ident.BackendName {
-		f := NewFixed(engines, allowed)
+		f := NewRendezvous(engines, allowed)
 		at := map[ident.Item]ident.BackendName{}
 		for n := range items {
 			id := ident.Item(fmt.Sprintf("item-%d", n))
