--- a/kernel/deal/deal.go
+++ b/kernel/deal/deal.go
@@ -75,85 +75,85 @@
 // many groups its trainer waits for, out of all; the groups that are expected to
 // take longest beyond these come last, except brought ones. Longest gives the
 // expected length of each group of the job, its finished items included.
-func Order(job ident.Job, waits []PendingItem, wanted int, longest map[ident.Group]ident.Tokens, brought map[ident.Group]bool) []RankedItem {
-	spare := spareGroups(wanted, longest, brought)
-	pieces := make([]RankedItem, 0, len(waits))
-	for _, w := range waits {
+func Order(job ident.Job, pending []PendingItem, requiredGroups int, groupLengths map[ident.Group]ident.Tokens, carriedOver map[ident.Group]bool) []RankedItem {
+	surplus := surplusGroups(requiredGroups, groupLengths, carriedOver)
+	items := make([]RankedItem, 0, len(pending))
+	for _, p := range pending {
 		rank := Required
 		switch {
-		case brought[w.Group]:
+		case carriedOver[p.Group]:
 			rank = CarriedOver
-		case spare[w.Group]:
+		case surplus[p.Group]:
 			rank = Surplus
 		}
-		pieces = append(pieces, RankedItem{Job: job, Target: w.Target, Expect: w.Expect, Rank: rank, Deferrable: w.Deferrable, FailedOn: w.FailedOn})
+		items = append(items, RankedItem{Job: job, Target: p.Target, Expect: p.Expect, Rank: rank, Deferrable: p.Deferrable, FailedOn: p.FailedOn})
 	}
-	slices.SortStableFunc(pieces, func(a, b RankedItem) int {
+	slices.SortStableFunc(items, func(a, b RankedItem) int {
 		return cmp.Or(cmp.Compare(b.Expect, a.Expect), cmp.Compare(a.Target.Index, b.Target.Index))
 	})
-	return pieces
+	return items
 }
 
-func spareGroups(wanted int, longest map[ident.Group]ident.Tokens, brought map[ident.Group]bool) map[ident.Group]bool {
-	if wanted <= 0 || wanted >= len(longest) {
+func surplusGroups(requiredGroups int, groupLengths map[ident.Group]ident.Tokens, carriedOver map[ident.Group]bool) map[ident.Group]bool {
+	if requiredGroups <= 0 || requiredGroups >= len(groupLengths) {
 		return nil
 	}
-	groups := make([]ident.Group, 0, len(longest))
-	for g := range longest {
+	groups := make([]ident.Group, 0, len(groupLengths))
+	for g := range groupLengths {
 		groups = append(groups, g)
 	}
 	slices.SortFunc(groups, func(a, b ident.Group) int {
-		if brought[a] != brought[b] {
-			if brought[a] {
+		if carriedOver[a] != carriedOver[b] {
+			if carriedOver[a] {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(longest[a], longest[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(groupLengths[a], groupLengths[b]), cmp.Compare(a, b))
 	})
-	spare := map[ident.Group]bool{}
-	for _, g := range groups[wanted:] {
-		spare[g] = true
+	surplus := map[ident.Group]bool{}
+	for _, g := range groups[requiredGroups:] {
+		surplus[g] = true
 	}
-	return spare
+	return surplus
 }
 
 const (
-	// crowdItem is how much longer an event takes for each item that runs beside,
+	// slowdownPerItem is how much longer an event takes for each item that runs beside,
 	// as a share, and crowdToken for each 1,000 tokens that these hold; from the
 	// step times that the users' deployments give for their engines.
-	crowdItem  = 0.008
-	crowdToken = 0.0014
-	// likePace is the difference in pace, as a share of the median, below which
+	slowdownPerItem = 0.008
+	crowdToken      = 0.0014
+	// paceTolerance is the difference in pace, as a share of the median, below which
 	// two engines count as alike: it is within what the texts themselves cause.
-	likePace = 0.15
-	// patientShare is the part of an engine's slots that patient items may fill. With
+	paceTolerance = 0.15
+	// deferrableShare is the part of an engine's slots that patient items may fill. With
 	// twelve items beside it a long one takes a sixth longer; a half, 0.7 and 0.8 were
 	// measured, see docs/POLICY.md.
-	patientShare = 0.8
-	// faultCost is what a failed run costs beside itself: it is begun anew, later.
-	faultCost = 2
+	deferrableShare = 0.8
+	// failurePenalty is what a failed run costs beside itself: it is begun anew, later.
+	failurePenalty = 2
 )
 
 // Assign gives the pieces, in their order, to the engines with the shortest
 // expected time of an event. Over is how many pieces an engine may hold beyond
 // its slots. Allowed tells whether an engine can run a job's items now.
-func Assign(pieces []RankedItem, engines []Engine, over int, allowed func(ident.BackendName, ident.Job) bool) []Assignment {
+func Assign(items []RankedItem, engines []Engine, overbook int, allowed func(ident.BackendName, ident.Job) bool) []Assignment {
 	engines = slices.Clone(engines)
 	median := MedianPace(engines)
-	fits := map[ident.Job][]bool{}
-	var deals []Assignment
-	for _, piece := range pieces {
-		if fits[piece.Job] == nil {
-			fits[piece.Job] = fitting(engines, piece.Job, allowed)
+	eligibleByJob := map[ident.Job][]bool{}
+	var assignments []Assignment
+	for _, item := range items {
+		if eligibleByJob[item.Job] == nil {
+			eligibleByJob[item.Job] = eligibility(engines, item.Job, allowed)
 		}
-		fit := fits[piece.Job]
-		choosy := count(fit) > len(piece.FailedOn)
+		eligible := eligibleByJob[item.Job]
+		avoidFailed := countTrue(eligible) > len(item.FailedOn)
 		best := -1
 		cost := math.Inf(1)
 		for i := range engines {
 			e := &engines[i]
-			if !fit[i] || e.Load.Items >= e.room(piece, over) || (choosy && slices.Contains(piece.FailedOn, e.Name)) {
+			if !eligible[i] || e.Load.Items >= e.capacity(item, overbook) || (avoidFailed && slices.Contains(item.FailedOn, e.Name)) {
 				continue
 			}
 			if c := e.Cost(median); c < cost {
@@ -164,33 +164,33 @@
 			continue
 		}
 		engines[best].Load.Items++
-		engines[best].Load.Expect += piece.Expect
-		deals = append(deals, Assignment{Item: piece, Engine: engines[best].Name})
+		engines[best].Load.Expect += item.Expect
+		assignments = append(assignments, Assignment{Item: item, Engine: engines[best].Name})
 	}
-	return deals
+	return assignments
 }
 
-// room returns how many items an engine may hold for the sake of a piece.
-func (e *Engine) room(piece RankedItem, over int) int {
-	if piece.Deferrable {
-		return int(math.Ceil(patientShare * float64(e.Slots)))
+// capacity returns how many items an engine may hold for the sake of a piece.
+func (e *Engine) capacity(item RankedItem, overbook int) int {
+	if item.Deferrable {
+		return int(math.Ceil(deferrableShare * float64(e.Slots)))
 	}
-	return e.Slots + over
+	return e.Slots + overbook
 }
 
-// fitting tells for each engine whether it can run a job's items now.
-func fitting(engines []Engine, job ident.Job, allowed func(ident.BackendName, ident.Job) bool) []bool {
-	fit := make([]bool, len(engines))
+// eligibility tells for each engine whether it can run a job's items now.
+func eligibility(engines []Engine, job ident.Job, allowed func(ident.BackendName, ident.Job) bool) []bool {
+	eligible := make([]bool, len(engines))
 	for i := range engines {
-		fit[i] = allowed(engines[i].Name, job)
+		eligible[i] = allowed(engines[i].Name, job)
 	}
-	return fit
+	return eligible
 }
 
-func count(fit []bool) int {
+func countTrue(eligible []bool) int {
 	n := 0
-	for _, fits := range fit {
-		if fits {
+	for _, ok := range eligible {
+		if ok {
 			n++
 		}
 	}
@@ -201,16 +201,16 @@
 // median stands in for an engine of which nothing or nothing special is known.
 func (e *Engine) Cost(median float64) float64 {
 	pace := e.PerEvent
-	if pace == 0 || math.Abs(pace-median) < likePace*median {
+	if pace == 0 || math.Abs(pace-median) < paceTolerance*median {
 		pace = median
 	}
-	pace *= 1 + faultCost*e.FailureRate
+	pace *= 1 + failurePenalty*e.FailureRate
 	return pace * Slowdown(e.Load)
 }
 
 // Slowdown returns how many times longer an event takes beside a load.
 func Slowdown(load jobs.Load) float64 {
-	return 1 + crowdItem*float64(load.Items) + crowdToken*float64(load.Expect)/1000
+	return 1 + slowdownPerItem*float64(load.Items) + crowdToken*float64(load.Expect)/1000
 }
 
 // MedianPace returns the median of the known paces, or 1.
--- a/kernel/deal/deal_test.go
+++ b/kernel/deal/deal_test.go
@@ -10,7 +10,7 @@
 
 func anywhere(ident.BackendName, ident.Job) bool { return true }
 
-func pieces(expects ...ident.Tokens) []RankedItem {
+func itemsOf(expects ...ident.Tokens) []RankedItem {
 	var list []RankedItem
 	for i, e := range expects {
 		list = append(list, RankedItem{Job: "j", Target: jobs.Target{Index: i}, Expect: e})
@@ -18,19 +18,19 @@
 	return list
 }
 
-func engineOf(t *testing.T, deals []Assignment, index int) ident.BackendName {
+func engineOf(t *testing.T, assignments []Assignment, index int) ident.BackendName {
 	t.Helper()
-	at := slices.IndexFunc(deals, func(a Assignment) bool { return a.Item.Target.Index == index })
-	if at < 0 {
+	position := slices.IndexFunc(assignments, func(a Assignment) bool { return a.Item.Target.Index == index })
+	if position < 0 {
 		t.Fatalf("item %d is not dealt", index)
 	}
-	return deals[at].Engine
+	return assignments[position].Engine
 }
 
 func TestOrder(t *testing.T) {
-	waits := []PendingItem{{Target: jobs.Target{Index: 0}, Group: "a", Expect: 5}, {Target: jobs.Target{Index: 1}, Group: "b", Expect: 9}, {Target: jobs.Target{Index: 2}, Group: "c", Expect: 7}}
-	longest := map[ident.Group]ident.Tokens{"a": 5, "b": 9, "c": 7}
-	got := Order("j", waits, 2, longest, map[ident.Group]bool{"c": true})
+	pending := []PendingItem{{Target: jobs.Target{Index: 0}, Group: "a", Expect: 5}, {Target: jobs.Target{Index: 1}, Group: "b", Expect: 9}, {Target: jobs.Target{Index: 2}, Group: "c", Expect: 7}}
+	groupLengths := map[ident.Group]ident.Tokens{"a": 5, "b": 9, "c": 7}
+	got := Order("j", pending, 2, groupLengths, map[ident.Group]bool{"c": true})
 	var order []int
 	var ranks []Rank
 	for _, p := range got {
@@ -47,29 +47,29 @@
 
 func TestSpread(t *testing.T) {
 	t.Run("no engine gets more than its slots and what is allowed beyond", func(t *testing.T) {
-		deals := Assign(pieces(1, 1, 1, 1, 1), []Engine{{Name: "e", Slots: 2}, {Name: "f", Slots: 1}}, 1, anywhere)
+		deals := Assign(itemsOf(1, 1, 1, 1, 1), []Engine{{Name: "e", Slots: 2}, {Name: "f", Slots: 1}}, 1, anywhere)
 		if len(deals) != 5 {
 			t.Errorf("%d dealt, want 5", len(deals))
 		}
-		if deals = Assign(pieces(1), []Engine{{Name: "e", Slots: 2, Load: jobs.Load{Items: 3}}}, 1, anywhere); len(deals) != 0 {
+		if deals = Assign(itemsOf(1), []Engine{{Name: "e", Slots: 2, Load: jobs.Load{Items: 3}}}, 1, anywhere); len(deals) != 0 {
 			t.Errorf("%d dealt to a full engine", len(deals))
 		}
 	})
 	t.Run("long items do not gather at one engine", func(t *testing.T) {
-		deals := Assign(pieces(9000, 9000), []Engine{{Name: "e", Slots: 9, PerEvent: 38}, {Name: "f", Slots: 9, PerEvent: 40}}, 0, anywhere)
+		deals := Assign(itemsOf(9000, 9000), []Engine{{Name: "e", Slots: 9, PerEvent: 38}, {Name: "f", Slots: 9, PerEvent: 40}}, 0, anywhere)
 		if engineOf(t, deals, 0) == engineOf(t, deals, 1) {
 			t.Error("both went to one engine")
 		}
 	})
 	t.Run("a slow engine comes last", func(t *testing.T) {
 		engines := []Engine{{Name: "e", Slots: 2, PerEvent: 140}, {Name: "f", Slots: 2, PerEvent: 40}, {Name: "g", Slots: 2, PerEvent: 41}}
-		deals := Assign(pieces(9, 8, 7, 6, 5), engines, 0, anywhere)
+		deals := Assign(itemsOf(9, 8, 7, 6, 5), engines, 0, anywhere)
 		if engineOf(t, deals, 4) != "e" || engineOf(t, deals, 3) == "e" {
 			t.Error("the slow engine did not get the shortest item")
 		}
 	})
 	t.Run("an item does not go back to the engine that failed it", func(t *testing.T) {
-		failed := pieces(9)
+		failed := itemsOf(9)
 		failed[0].FailedOn = []ident.BackendName{"e"}
 		two := []Engine{{Name: "e", Slots: 2, PerEvent: 40}, {Name: "f", Slots: 2, PerEvent: 90}}
 		if got := engineOf(t, Assign(failed, two, 0, anywhere), 0); got != "f" {
@@ -81,12 +81,12 @@
 	})
 	t.Run("an engine that fails half of its runs comes last", func(t *testing.T) {
 		list := []Engine{{Name: "e", Slots: 2, PerEvent: 40, FailureRate: 0.5}, {Name: "f", Slots: 2, PerEvent: 45}}
-		if got := engineOf(t, Assign(pieces(9), list, 0, anywhere), 0); got != "f" {
+		if got := engineOf(t, Assign(itemsOf(9), list, 0, anywhere), 0); got != "f" {
 			t.Errorf("went to %s", got)
 		}
 	})
 	t.Run("an item goes only where it is allowed", func(t *testing.T) {
-		deals := Assign(pieces(1), []Engine{{Name: "e", Slots: 1}}, 0, func(ident.BackendName, ident.Job) bool { return false })
+		deals := Assign(itemsOf(1), []Engine{{Name: "e", Slots: 1}}, 0, func(ident.BackendName, ident.Job) bool { return false })
 		if len(deals) != 0 {
 			t.Error("dealt in spite of it")
 		}
@@ -94,15 +94,15 @@
 }
 
 func TestPatientItemsLeaveRoom(t *testing.T) {
-	patient := pieces(1, 1, 1, 1, 1)
-	for i := range patient {
-		patient[i].Deferrable = true
+	deferrable := itemsOf(1, 1, 1, 1, 1)
+	for i := range deferrable {
+		deferrable[i].Deferrable = true
 	}
 	engines := []Engine{{Name: "e", Slots: 5}}
-	if deals := Assign(patient, engines, 1, anywhere); len(deals) != 4 {
+	if deals := Assign(deferrable, engines, 1, anywhere); len(deals) != 4 {
 		t.Errorf("%d patient items at an engine of 5 slots, want 4", len(deals))
 	}
-	if deals := Assign(append(patient, pieces(9, 9, 9)...), engines, 1, anywhere); len(deals) != 6 {
+	if deals := Assign(append(deferrable, itemsOf(9, 9, 9)...), engines, 1, anywhere); len(deals) != 6 {
 		t.Errorf("%d items with those that can't wait, want 6", len(deals))
 	}
 }
--- a/kernel/deal/fixed.go
+++ b/kernel/deal/fixed.go
@@ -13,16 +13,16 @@
 type Rendezvous struct {
 	engines []Engine
 	// weights and hashes are by engine.
-	weights []float64
-	hashes  []uint64
-	allowed func(ident.BackendName, ident.Job) bool
-	fits    map[ident.Job][]bool
+	weights       []float64
+	hashes        []uint64
+	allowed       func(ident.BackendName, ident.Job) bool
+	eligibleByJob map[ident.Job][]bool
 }
 
 // NewRendezvous returns what falls to which of the engines. Allowed tells whether an engine
 // can run a job's items.
 func NewRendezvous(engines []Engine, allowed func(ident.BackendName, ident.Job) bool) *Rendezvous {
-	f := &Rendezvous{engines: engines, allowed: allowed, fits: map[ident.Job][]bool{}}
+	f := &Rendezvous{engines: engines, allowed: allowed, eligibleByJob: map[ident.Job][]bool{}}
 	median := MedianPace(engines)
 	for i := range engines {
 		pace := engines[i].PerEvent
@@ -37,16 +37,16 @@
 
 // Engine returns the engine that an item falls to, if one can run it.
 func (f *Rendezvous) Engine(item ident.Item, job ident.Job) (ident.BackendName, bool) {
-	if f.fits[job] == nil {
-		f.fits[job] = fitting(f.engines, job, f.allowed)
+	if f.eligibleByJob[job] == nil {
+		f.eligibleByJob[job] = eligibility(f.engines, job, f.allowed)
 	}
-	own := ident.Hash(string(item))
+	itemHash := ident.Hash(string(item))
 	best, score := -1, math.Inf(-1)
-	for i, fits := range f.fits[job] {
-		if !fits {
+	for i, ok := range f.eligibleByJob[job] {
+		if !ok {
 			continue
 		}
-		if s := f.weights[i] / -math.Log(unit(own, f.hashes[i])); s > score {
+		if s := f.weights[i] / -math.Log(mixToUnitInterval(itemHash, f.hashes[i])); s > score {
 			best, score = i, s
 		}
 	}
@@ -56,8 +56,8 @@
 	return f.engines[best].Name, true
 }
 
-// unit mixes two hashes to a number between 0 and 1, neither included.
-func unit(a, b uint64) float64 {
+// mixToUnitInterval mixes two hashes to a number between 0 and 1, neither included.
+func mixToUnitInterval(a, b uint64) float64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 32
 	x *= 0xd6e8feb86659fd93
