--- a/kernel/deal/deal.go
+++ b/kernel/deal/deal.go
@@ -1,6 +1,6 @@
-// Package deal decides which waiting item of a batch job goes to which engine.
-// It is pure: instances that know the same ledger come to the same deal, so
-// that each may act on its own part of it without asking the others.
+// Package deal assigns the waiting items of batch jobs to engines. It has no I/O
+// and no state: instances that have read the same ledger compute the same
+// assignment, and each can act on its part without coordination.
 package deal
 
 import (
@@ -12,69 +12,73 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// Engine is a model engine as the ledger and the list show it.
+// Engine is a model engine, as the ledger and the configured list describe it.
 type Engine struct {
 	Name  ident.BackendName
 	Slots int
-	// Load is what is claimed to run there.
+	// Load is the sum of the items that are claimed for the engine.
 	Load jobs.Load
-	// PerEvent is the observed time of an event in milliseconds while nothing runs
-	// beside; 0 is unknown.
+	// PerEvent is the observed time per event, in milliseconds, of an item that runs
+	// alone; 0 means unknown.
 	PerEvent float64
-	// FailureRate is the share of its runs that the engine itself fails.
+	// FailureRate is the share of runs, 0 to 1, that fail through the engine's fault.
 	FailureRate float64
 }
 
-// Rank tells how a step depends on an item.
+// Rank says whether a step needs an item in order to end.
 type Rank string
 
 // Ranks.
 const (
-	// CarriedOver items are of a group that an earlier step did not finish: the
-	// trainer waits for them whatever else is whole.
+	// CarriedOver items belong to a group that an earlier step did not finish. The
+	// trainer always waits for them.
 	CarriedOver Rank = "brought"
-	// Required items are expected to be among those that the trainer waits for.
+	// Required items belong to the groups that are expected to finish first, up to
+	// the number of groups that the trainer waits for.
 	Required Rank = "wanted"
-	// Surplus items are of the groups that are expected to take longest, beyond
-	// those that the trainer waits for.
+	// Surplus items belong to the longest groups, beyond the number that the trainer
+	// waits for.
 	Surplus Rank = "spare"
 )
 
-// RankedItem is an item that waits.
+// RankedItem is a waiting item of a job, with its rank.
 type RankedItem struct {
 	Job    ident.Job
 	Target jobs.Target
 	Expect ident.Tokens
 	Rank   Rank
-	// Deferrable items end in time also if they start later. They fill engines to a part
-	// only: what runs beside a long item makes it longer.
+	// Deferrable items are expected to end in time even if they start later. They may
+	// use only part of an engine's slots, because every concurrent item slows the
+	// long ones down.
 	Deferrable bool
-	// FailedOn are the engines that have failed the item; it goes to another one.
+	// FailedOn lists the engines on which the item has failed. Assign avoids them
+	// while another engine is eligible.
 	FailedOn []ident.BackendName
 }
 
-// Assignment gives a piece to an engine.
+// Assignment is an item with the engine chosen for it.
 type Assignment struct {
 	Item   RankedItem
 	Engine ident.BackendName
 }
 
-// PendingItem is an item of a job that has neither a result nor a claim that stands.
+// PendingItem is an item of a job without a result and without a valid claim.
 type PendingItem struct {
 	Target jobs.Target
 	Group  ident.Group
 	Expect ident.Tokens
-	// Deferrable tells that the item ends in time also if it starts later.
+	// Deferrable means that the item is expected to end in time even if it starts
+	// later.
 	Deferrable bool
-	// FailedOn are the engines that have failed the item.
+	// FailedOn lists the engines on which the item has failed.
 	FailedOn []ident.BackendName
 }
 
-// Order returns the waiting items of a job in the order in which they should
-// start: longest first, because a step ends with its last item. Wanted is how
-// many groups its trainer waits for, out of all; the groups that are expected to
-// take longest beyond these come last, except brought ones. Longest gives the
-// expected length of each group of the job, its finished items included.
+// Order ranks the pending items of a job and sorts them by expected length, longest
+// first, because a step ends with its last item. requiredGroups is the number of
+// groups that the trainer waits for, 0 for all. groupLengths holds the expected length of each
+// group of the job, its finished items included; carriedOver marks the groups that an
+// earlier step did not finish.
 func Order(job ident.Job, pending []PendingItem, requiredGroups int, groupLengths map[ident.Group]ident.Tokens, carriedOver map[ident.Group]bool) []RankedItem {
 	surplus := surplusGroups(requiredGroups, groupLengths, carriedOver)
 	items := make([]RankedItem, 0, len(pending))
@@ -94,6 +98,9 @@
 	return items
 }
 
+// surplusGroups returns the groups beyond the first requiredGroups, ordered by carried
+// over first, then by length. It returns nil if the trainer waits for all groups, which
+// a requiredGroups of 0 also means.
 func surplusGroups(requiredGroups int, groupLengths map[ident.Group]ident.Tokens, carriedOver map[ident.Group]bool) map[ident.Group]bool {
 	if requiredGroups <= 0 || requiredGroups >= len(groupLengths) {
 		return nil
@@ -119,25 +126,26 @@
 }
 
 const (
-	// slowdownPerItem is how much longer an event takes for each item that runs beside,
-	// as a share, and crowdToken for each 1,000 tokens that these hold; from the
-	// step times that the users' deployments give for their engines.
+	// slowdownPerItem and slowdownPerKiloToken are the relative increase in the time
+	// per event for each concurrent item, and for each 1,000 tokens that the
+	// concurrent items are expected to produce.
 	slowdownPerItem = 0.008
 	crowdToken      = 0.0014
-	// paceTolerance is the difference in pace, as a share of the median, below which
-	// two engines count as alike: it is within what the texts themselves cause.
+	// paceTolerance is the relative deviation from the median time per event below
+	// which an engine is treated as a median one. Differences between texts alone
+	// cause such deviations.
 	paceTolerance = 0.15
-	// deferrableShare is the part of an engine's slots that patient items may fill. With
-	// twelve items beside it a long one takes a sixth longer; a half, 0.7 and 0.8 were
-	// measured, see docs/POLICY.md.
+	// deferrableShare is the share of an engine's slots that deferrable items may use.
 	deferrableShare = 0.8
-	// failurePenalty is what a failed run costs beside itself: it is begun anew, later.
+	// failurePenalty weighs an engine's failure rate in its cost: a failed run is
+	// repeated, and the repetition starts late.
 	failurePenalty = 2
 )
 
-// Assign gives the pieces, in their order, to the engines with the shortest
-// expected time of an event. Over is how many pieces an engine may hold beyond
-// its slots. Allowed tells whether an engine can run a job's items now.
+// Assign takes the items in the given order and assigns each to the eligible engine
+// with the lowest Cost. Items for which no engine has capacity are left out. overbook
+// is the number of items that an engine may hold beyond its slots; allowed reports
+// whether an engine can run a job's items now.
 func Assign(items []RankedItem, engines []Engine, overbook int, allowed func(ident.BackendName, ident.Job) bool) []Assignment {
 	engines = slices.Clone(engines)
 	median := MedianPace(engines)
@@ -170,7 +178,8 @@
 	return assignments
 }
 
-// capacity returns how many items an engine may hold for the sake of a piece.
+// capacity returns how many items the engine may hold when the given item is assigned to
+// it.
 func (e *Engine) capacity(item RankedItem, overbook int) int {
 	if item.Deferrable {
 		return int(math.Ceil(deferrableShare * float64(e.Slots)))
@@ -178,7 +187,7 @@
 	return e.Slots + overbook
 }
 
-// eligibility tells for each engine whether it can run a job's items now.
+// eligibility reports, by engine index, whether the engine can run a job's items now.
 func eligibility(engines []Engine, job ident.Job, allowed func(ident.BackendName, ident.Job) bool) []bool {
 	eligible := make([]bool, len(engines))
 	for i := range engines {
@@ -197,8 +206,9 @@
 	return n
 }
 
-// Cost returns the expected time of an event of one more item, in milliseconds;
-// median stands in for an engine of which nothing or nothing special is known.
+// Cost returns the expected time per event, in milliseconds, of one more item on the
+// engine, raised by its failure rate. The median is used for an engine whose time per
+// event is unknown or within paceTolerance of it.
 func (e *Engine) Cost(median float64) float64 {
 	pace := e.PerEvent
 	if pace == 0 || math.Abs(pace-median) < paceTolerance*median {
@@ -208,12 +218,13 @@
 	return pace * Slowdown(e.Load)
 }
 
-// Slowdown returns how many times longer an event takes beside a load.
+// Slowdown returns the factor, 1 or more, by which a concurrent load lengthens an event.
 func Slowdown(load jobs.Load) float64 {
 	return 1 + slowdownPerItem*float64(load.Items) + crowdToken*float64(load.Expect)/1000
 }
 
-// MedianPace returns the median of the known paces, or 1.
+// MedianPace returns the median time per event, in milliseconds, of the engines for which
+// it is known, or 1 if there are none.
 func MedianPace(engines []Engine) float64 {
 	var paces []float64
 	for _, e := range engines {
--- a/kernel/deal/deal_test.go
+++ b/kernel/deal/deal_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	position := slices.IndexFunc(assignments, func(a Assignment) bool { return a.Item.Target.Index == index })
 	if position < 0 {
-		t.Fatalf("item %d is not dealt", index)
+		t.Fatalf("item %d was not assigned", index)
 	}
 	return assignments[position].Engine
 }
@@ -41,7 +41,7 @@
 		t.Errorf("order %v, want longest first", order)
 	}
 	if !slices.Equal(ranks, []Rank{Surplus, CarriedOver, Required}) {
-		t.Errorf("ranks %v", ranks)
+		t.Errorf("ranks %v, want surplus, carried over, required", ranks)
 	}
 }
 
@@ -49,16 +49,16 @@
 	t.Run("no engine gets more than its slots and what is allowed beyond", func(t *testing.T) {
 		deals := Assign(itemsOf(1, 1, 1, 1, 1), []Engine{{Name: "e", Slots: 2}, {Name: "f", Slots: 1}}, 1, anywhere)
 		if len(deals) != 5 {
-			t.Errorf("%d dealt, want 5", len(deals))
+			t.Errorf("%d items assigned, want 5", len(deals))
 		}
 		if deals = Assign(itemsOf(1), []Engine{{Name: "e", Slots: 2, Load: jobs.Load{Items: 3}}}, 1, anywhere); len(deals) != 0 {
-			t.Errorf("%d dealt to a full engine", len(deals))
+			t.Errorf("%d items assigned to a full engine", len(deals))
 		}
 	})
 	t.Run("long items do not gather at one engine", func(t *testing.T) {
 		deals := Assign(itemsOf(9000, 9000), []Engine{{Name: "e", Slots: 9, PerEvent: 38}, {Name: "f", Slots: 9, PerEvent: 40}}, 0, anywhere)
 		if engineOf(t, deals, 0) == engineOf(t, deals, 1) {
-			t.Error("both went to one engine")
+			t.Error("both items were assigned to one engine")
 		}
 	})
 	t.Run("a slow engine comes last", func(t *testing.T) {
@@ -73,22 +73,22 @@
 		failed[0].FailedOn = []ident.BackendName{"e"}
 		two := []Engine{{Name: "e", Slots: 2, PerEvent: 40}, {Name: "f", Slots: 2, PerEvent: 90}}
 		if got := engineOf(t, Assign(failed, two, 0, anywhere), 0); got != "f" {
-			t.Errorf("went to %s", got)
+			t.Errorf("assigned to %s, want f", got)
 		}
 		if got := engineOf(t, Assign(failed, two[:1], 0, anywhere), 0); got != "e" {
-			t.Errorf("went to %s, want the only one", got)
+			t.Errorf("assigned to %s, want the only engine", got)
 		}
 	})
 	t.Run("an engine that fails half of its runs comes last", func(t *testing.T) {
 		list := []Engine{{Name: "e", Slots: 2, PerEvent: 40, FailureRate: 0.5}, {Name: "f", Slots: 2, PerEvent: 45}}
 		if got := engineOf(t, Assign(itemsOf(9), list, 0, anywhere), 0); got != "f" {
-			t.Errorf("went to %s", got)
+			t.Errorf("assigned to %s, want f", got)
 		}
 	})
 	t.Run("an item goes only where it is allowed", func(t *testing.T) {
 		deals := Assign(itemsOf(1), []Engine{{Name: "e", Slots: 1}}, 0, func(ident.BackendName, ident.Job) bool { return false })
 		if len(deals) != 0 {
-			t.Error("dealt in spite of it")
+			t.Error("item assigned to an engine that is not allowed")
 		}
 	})
 }
@@ -100,9 +100,9 @@
 	}
 	engines := []Engine{{Name: "e", Slots: 5}}
 	if deals := Assign(deferrable, engines, 1, anywhere); len(deals) != 4 {
-		t.Errorf("%d patient items at an engine of 5 slots, want 4", len(deals))
+		t.Errorf("%d deferrable items on an engine with 5 slots, want 4", len(deals))
 	}
 	if deals := Assign(append(deferrable, itemsOf(9, 9, 9)...), engines, 1, anywhere); len(deals) != 6 {
-		t.Errorf("%d items with those that can't wait, want 6", len(deals))
+		t.Errorf("%d items in total, deferrable and urgent, want 6", len(deals))
 	}
 }
--- a/kernel/deal/fixed.go
+++ b/kernel/deal/fixed.go
@@ -6,21 +6,21 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Rendezvous says which engine an item falls to while nobody can say who runs what: by
-// weighted rendezvous hashing among the engines that can run its job, a faster one or
-// one with more slots counting more. Instances whose knowledge differs by an engine
-// differ only on that engine's items; a deal by load would differ on all that follow.
+// Rendezvous assigns items to engines without knowledge of their load, by weighted
+// rendezvous hashing. The weight of an engine is its slots divided by its time per event.
+// Instances whose engine lists differ by one engine disagree only on that engine's items;
+// an assignment by load would differ on all items that follow.
 type Rendezvous struct {
 	engines []Engine
-	// weights and hashes are by engine.
+	// weights and hashes are indexed like engines.
 	weights       []float64
 	hashes        []uint64
 	allowed       func(ident.BackendName, ident.Job) bool
 	eligibleByJob map[ident.Job][]bool
 }
 
-// NewRendezvous returns what falls to which of the engines. Allowed tells whether an engine
-// can run a job's items.
+// NewRendezvous returns an assignment to the given engines. allowed reports whether an
+// engine can run a job's items; its results are cached by job.
 func NewRendezvous(engines []Engine, allowed func(ident.BackendName, ident.Job) bool) *Rendezvous {
 	f := &Rendezvous{engines: engines, allowed: allowed, eligibleByJob: map[ident.Job][]bool{}}
 	median := MedianPace(engines)
@@ -35,7 +35,7 @@
 	return f
 }
 
-// Engine returns the engine that an item falls to, if one can run it.
+// Engine returns the engine for an item, or false if no engine can run the job.
 func (f *Rendezvous) Engine(item ident.Item, job ident.Job) (ident.BackendName, bool) {
 	if f.eligibleByJob[job] == nil {
 		f.eligibleByJob[job] = eligibility(f.engines, job, f.allowed)
@@ -56,7 +56,7 @@
 	return f.engines[best].Name, true
 }
 
-// mixToUnitInterval mixes two hashes to a number between 0 and 1, neither included.
+// mixToUnitInterval mixes two hashes into a number between 0 and 1, both exclusive.
 func mixToUnitInterval(a, b uint64) float64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 32
--- a/kernel/deal/fixed_test.go
+++ b/kernel/deal/fixed_test.go
@@ -59,10 +59,10 @@
 	t.Run("only engines that can run the job count", func(t *testing.T) {
 		at := where(sixEngines(), func(e ident.BackendName, _ ident.Job) bool { return e == "e-3" })
 		if share(at, "e-3") != 1 {
-			t.Errorf("the one engine has a share of %.3f", share(at, "e-3"))
+			t.Errorf("the only allowed engine has a share of %.3f, want 1", share(at, "e-3"))
 		}
 		if none := where(sixEngines(), func(ident.BackendName, ident.Job) bool { return false }); len(none) > 0 {
-			t.Errorf("%d items fall to engines that can't run them", len(none))
+			t.Errorf("%d items assigned to engines that can't run them", len(none))
 		}
 	})
 }
