--- a/croftmoor/swaps/survey.go
+++ b/croftmoor/swaps/survey.go
@@ -47,14 +47,14 @@
 	states := make([]loads.Engine, 0, len(s.engines))
 	for _, m := range s.engines {
 		name := ident.BackendName(m.Name)
-		e := loads.Engine{Name: name, Speed: 1, Has: map[ident.Model]ident.Version{}}
+		e := loads.Engine{Name: name, Speed: 1, Versions: map[ident.Model]ident.Version{}}
 		if pace := s.book.Paces[name].PerEvent; pace > 0 {
 			e.Speed = median / pace
 		}
 		for _, model := range s.service.Models {
-			e.Has[model] = s.has(m, model)
+			e.Versions[model] = s.has(m, model)
 		}
-		e.Barred = s.barred(name)
+		e.Unavailable = s.barred(name)
 		states = append(states, e)
 	}
 	return states
@@ -98,23 +98,23 @@
 // next: each takes the version after the one that its predecessor took.
 func (s *survey) steps(model ident.Model, newest ident.Version) []loads.Step {
 	var steps []loads.Step
-	coming := loads.Step{Least: newest, Work: comingShare * unknownWork}
+	coming := loads.Step{MinVersion: newest, Work: comingShare * unknownWork}
 	for _, id := range s.book.Order {
 		job := s.book.Jobs[id]
 		if job.Model != model {
 			continue
 		}
 		whole, waiting := work(job)
-		coming = loads.Step{Least: job.Least + 1, Work: comingShare * whole}
+		coming = loads.Step{MinVersion: job.Least + 1, Work: comingShare * whole}
 		if job.Open() && waiting > 0 {
-			steps = append(steps, loads.Step{Least: job.Least, Work: waiting, Waits: true})
+			steps = append(steps, loads.Step{MinVersion: job.Least, Work: waiting, Waiting: true})
 		}
 	}
-	for coming.Least < newest {
+	for coming.MinVersion < newest {
 		steps = append(steps, coming)
-		coming.Least++
+		coming.MinVersion++
 	}
-	coming.Least = newest
+	coming.MinVersion = newest
 	return append(steps, coming)
 }
 
@@ -134,7 +134,7 @@
 // want turns a planned load into one that can be ordered.
 func (s *survey) want(load loads.Load, manner Manner) want {
 	w := want{
-		key: jobs.EngineModel{Engine: load.Engine, Model: load.Model}, has: load.Has, version: load.Version, manner: manner,
+		key: jobs.EngineModel{Engine: load.Engine, Model: load.Model}, has: load.PreviousVersion, version: load.Version, manner: manner,
 	}
 	for _, m := range s.engines {
 		if m.Name == string(load.Engine) {
--- a/kernel/loads/loads.go
+++ b/kernel/loads/loads.go
@@ -13,21 +13,21 @@
 	Name ident.BackendName
 	// Speed is its usual speed as a multiple of the median engine's.
 	Speed float64
-	// Has are the versions that it has, or will have once the load that it
+	// Versions are the versions that it has, or will have once the load that it
 	// carries out has ended.
-	Has map[ident.Model]ident.Version
-	// Barred tells that it can't be ordered to load now.
-	Barred bool
+	Versions map[ident.Model]ident.Version
+	// Unavailable tells that it can't be ordered to load now.
+	Unavailable bool
 }
 
 // Step is items of one step that wait for engines, or are expected to.
 type Step struct {
-	// Least is the oldest version that may run them.
-	Least ident.Version
+	// MinVersion is the oldest version that may run them.
+	MinVersion ident.Version
 	// Work is what they are expected to take, in tokens.
 	Work float64
-	// Waits tells that the items wait now.
-	Waits bool
+	// Waiting tells that the items wait now.
+	Waiting bool
 }
 
 // Model is a model whose newest version engines may load.
@@ -41,20 +41,20 @@
 type Load struct {
 	Engine ident.BackendName
 	Model  ident.Model
-	// Has is the version that the engine has before.
-	Has     ident.Version
-	Version ident.Version
+	// PreviousVersion is the version that the engine has before.
+	PreviousVersion ident.Version
+	Version         ident.Version
 }
 
 const (
-	// blocked is what it costs that an engine takes no new items of the model
+	// loadingCost is what it costs that an engine takes no new items of the model
 	// while it loads, as a share of what it is worth to the step that waits.
-	blocked = 0.3
-	// choice is how much a step's first engine is chosen by its worth; the rest is
+	loadingCost = 0.3
+	// speedWeight is how much a step's first engine is chosen by its worth; the rest is
 	// for having one at all.
-	choice = 0.1
-	// leastSpeed keeps an engine that has turned slow in the running, behind others.
-	leastSpeed = 0.05
+	speedWeight = 0.1
+	// minSpeed keeps an engine that has turned slow in the running, behind others.
+	minSpeed = 0.05
 )
 
 // plan is the state of a planning: what engines will have once the loads chosen
@@ -65,25 +65,25 @@
 }
 
 // Plan returns the loads to order now, most valuable first, no more than most.
-func Plan(engines []Engine, models []Model, most int) []Load {
+func Plan(engines []Engine, models []Model, limit int) []Load {
 	p := &plan{engines: make([]Engine, 0, len(engines)), models: models}
 	for _, e := range engines {
-		has := make(map[ident.Model]ident.Version, len(e.Has))
-		for model, version := range e.Has {
+		has := make(map[ident.Model]ident.Version, len(e.Versions))
+		for model, version := range e.Versions {
 			has[model] = version
 		}
-		e.Has = has
+		e.Versions = has
 		p.engines = append(p.engines, e)
 	}
 	var chosen []Load
-	for len(chosen) < most {
+	for len(chosen) < limit {
 		load, engine, ok := p.best()
 		if !ok {
 			break
 		}
 		chosen = append(chosen, load)
-		p.engines[engine].Has[load.Model] = load.Version
-		p.engines[engine].Barred = true
+		p.engines[engine].Versions[load.Model] = load.Version
+		p.engines[engine].Unavailable = true
 	}
 	return chosen
 }
@@ -91,20 +91,20 @@
 // best returns the load that is worth most now.
 func (p *plan) best() (Load, int, bool) {
 	var best Load
-	at, most := -1, 0.0
+	index, bestGain := -1, 0.0
 	for _, m := range p.models {
 		supply := p.supplies(m)
 		for i, e := range p.engines {
-			if e.Barred || e.Has[m.Name] >= m.Newest {
+			if e.Unavailable || e.Versions[m.Name] >= m.Newest {
 				continue
 			}
-			if g := p.gain(e, m, supply); g > most {
-				at, most = i, g
-				best = Load{Engine: e.Name, Model: m.Name, Has: e.Has[m.Name], Version: m.Newest}
+			if g := p.gain(e, m, supply); g > bestGain {
+				index, bestGain = i, g
+				best = Load{Engine: e.Name, Model: m.Name, PreviousVersion: e.Versions[m.Name], Version: m.Newest}
 			}
 		}
 	}
-	return best, at, at >= 0
+	return best, index, index >= 0
 }
 
 // supplies returns for each step of a model what the engines that can run it are
@@ -113,8 +113,8 @@
 	supply := make([]float64, len(m.Steps))
 	for _, e := range p.engines {
 		for n, s := range m.Steps {
-			if e.Has[m.Name] >= s.Least {
-				supply[n] += p.worth(e, m)
+			if e.Versions[m.Name] >= s.MinVersion {
+				supply[n] += p.sharedSpeed(e, m)
 			}
 		}
 	}
@@ -125,35 +125,35 @@
 // an engine that serves a waiting step does not do so while it loads.
 func (p *plan) gain(e Engine, m Model, supply []float64) float64 {
 	gain := 0.0
-	worth := p.worth(e, m)
+	worth := p.sharedSpeed(e, m)
 	for n, s := range m.Steps {
 		switch {
-		case e.Has[m.Name] < s.Least && m.Newest >= s.Least:
-			gain += s.Work * worth / (supply[n] + worth) * (1 - choice + choice*worth)
-		case e.Has[m.Name] >= s.Least && s.Waits:
-			gain -= blocked * s.Work * worth / supply[n]
+		case e.Versions[m.Name] < s.MinVersion && m.Newest >= s.MinVersion:
+			gain += s.Work * worth / (supply[n] + worth) * (1 - speedWeight + speedWeight*worth)
+		case e.Versions[m.Name] >= s.MinVersion && s.Waiting:
+			gain -= loadingCost * s.Work * worth / supply[n]
 		}
 	}
 	return gain
 }
 
-// worth returns what an engine counts for a model: it is shared by all models whose
+// sharedSpeed returns what an engine counts for a model: it is shared by all models whose
 // steps it serves.
-func (p *plan) worth(e Engine, m Model) float64 {
-	others := 0
+func (p *plan) sharedSpeed(e Engine, m Model) float64 {
+	otherModels := 0
 	for _, other := range p.models {
 		if other.Name != m.Name && serves(e, other) {
-			others++
+			otherModels++
 		}
 	}
-	speed := max(e.Speed, leastSpeed)
-	return speed / float64(1+others)
+	speed := max(e.Speed, minSpeed)
+	return speed / float64(1+otherModels)
 }
 
 // serves tells whether an engine can run a step of a model.
 func serves(e Engine, m Model) bool {
 	for _, s := range m.Steps {
-		if e.Has[m.Name] >= s.Least {
+		if e.Versions[m.Name] >= s.MinVersion {
 			return true
 		}
 	}
--- a/kernel/loads/loads_test.go
+++ b/kernel/loads/loads_test.go
@@ -15,7 +15,7 @@
 	var engines []Engine
 	for n, v := range versions {
 		engines = append(engines, Engine{
-			Name: ident.BackendName(fmt.Sprintf("e%d", n)), Speed: 1, Has: map[ident.Model]ident.Version{"a": v[0], "b": v[1]},
+			Name: ident.BackendName(fmt.Sprintf("e%d", n)), Speed: 1, Versions: map[ident.Model]ident.Version{"a": v[0], "b": v[1]},
 		})
 	}
 	return engines
@@ -34,10 +34,10 @@
 
 func TestPlan(t *testing.T) {
 	waits := func(name ident.Model, newest, least ident.Version) Model {
-		return Model{Name: name, Newest: newest, Steps: []Step{{Least: least, Work: 100, Waits: true}, {Least: newest, Work: 70}}}
+		return Model{Name: name, Newest: newest, Steps: []Step{{MinVersion: least, Work: 100, Waiting: true}, {MinVersion: newest, Work: 70}}}
 	}
 	idle := func(name ident.Model, newest ident.Version) Model {
-		return Model{Name: name, Newest: newest, Steps: []Step{{Least: newest, Work: 70}}}
+		return Model{Name: name, Newest: newest, Steps: []Step{{MinVersion: newest, Work: 70}}}
 	}
 	t.Run("a step that waits and has no engine goes first", func(t *testing.T) {
 		got := Plan(fleet([2]ident.Version{1, 2}, [2]ident.Version{1, 2}), []Model{waits("a", 3, 2), idle("b", 3)}, 1)
@@ -62,9 +62,9 @@
 	})
 	t.Run("engines that can't be ordered are left out, the plan changes nothing", func(t *testing.T) {
 		engines := fleet([2]ident.Version{1, 3}, [2]ident.Version{1, 3})
-		engines[0].Barred = true
+		engines[0].Unavailable = true
 		expectLoads(t, Plan(engines, []Model{waits("a", 3, 2)}, 2), "e1 a3")
-		if engines[1].Has["a"] != 1 || engines[1].Barred {
+		if engines[1].Versions["a"] != 1 || engines[1].Unavailable {
 			t.Error("the caller's engines were changed")
 		}
 	})
@@ -89,10 +89,10 @@
 	w := &world{atOnce: rapid.IntRange(1, 4).Draw(t, "at once")}
 	names := []ident.Model{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "models")]
 	for n := range rapid.IntRange(2, 8).Draw(t, "engines") {
-		e := Engine{Name: ident.BackendName(fmt.Sprintf("e%d", n)), Has: map[ident.Model]ident.Version{}}
+		e := Engine{Name: ident.BackendName(fmt.Sprintf("e%d", n)), Versions: map[ident.Model]ident.Version{}}
 		e.Speed = rapid.Float64Range(0.2, 1.5).Draw(t, "speed")
 		for _, name := range names {
-			e.Has[name] = 1
+			e.Versions[name] = 1
 		}
 		w.engines = append(w.engines, e)
 	}
@@ -107,14 +107,14 @@
 func (w *world) name(n int) {
 	m := &w.models[n]
 	m.Newest++
-	m.Steps = []Step{{Least: m.Newest - 1, Work: 100, Waits: true}, {Least: m.Newest, Work: 70}}
+	m.Steps = []Step{{MinVersion: m.Newest - 1, Work: 100, Waiting: true}, {MinVersion: m.Newest, Work: 70}}
 }
 
 // served tells whether an engine has the version that the waiting step of a model
 // takes.
 func (w *world) served(m Model) bool {
 	for _, e := range w.engines {
-		if len(m.Steps) == 0 || e.Has[m.Name] >= m.Steps[0].Least {
+		if len(m.Steps) == 0 || e.Versions[m.Name] >= m.Steps[0].MinVersion {
 			return true
 		}
 	}
@@ -136,12 +136,12 @@
 			t.Fatalf("engine %s is ordered twice", l.Engine)
 		}
 		loaded[l.Engine] = true
-		if l.Version <= l.Has {
-			t.Fatalf("engine %s would load version %d after %d", l.Engine, l.Version, l.Has)
+		if l.Version <= l.PreviousVersion {
+			t.Fatalf("engine %s would load version %d after %d", l.Engine, l.Version, l.PreviousVersion)
 		}
 		for _, e := range w.engines {
 			if e.Name == l.Engine {
-				e.Has[l.Model] = l.Version
+				e.Versions[l.Model] = l.Version
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 		}
 		for n := range w.models {
 			for s := range w.models[n].Steps {
-				w.models[n].Steps[s].Waits = false
+				w.models[n].Steps[s].Waiting = false
 			}
 		}
 		for range len(w.engines) * len(w.models) {
@@ -178,8 +178,8 @@
 		}
 		for _, e := range w.engines {
 			for _, m := range w.models {
-				if e.Has[m.Name] != m.Newest {
-					t.Fatalf("engine %s has version %d of model %s, %d was named", e.Name, e.Has[m.Name], m.Name, m.Newest)
+				if e.Versions[m.Name] != m.Newest {
+					t.Fatalf("engine %s has version %d of model %s, %d was named", e.Name, e.Versions[m.Name], m.Name, m.Newest)
 				}
 			}
 		}
@@ -188,7 +188,7 @@
 
 func TestFurthestBehind(t *testing.T) {
 	engines := fleet([2]ident.Version{2, 2}, [2]ident.Version{1, 3}, [2]ident.Version{3, 1})
-	engines[2].Barred = true
+	engines[2].Unavailable = true
 	models := []Model{{Name: "a", Newest: 3}, {Name: "b", Newest: 3}}
 	expectLoads(t, FurthestBehind(engines, models, 3), "e1 a3", "e0 a3")
 	expectLoads(t, FurthestBehind(engines, models, 1), "e1 a3")
