--- a/kernel/loads/behind.go
+++ b/kernel/loads/behind.go
@@ -7,8 +7,9 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// FurthestBehind returns the loads of the engines that are most versions behind,
-// whatever steps need: the baseline that Plan is measured against.
+// FurthestBehind returns at most limit loads, one for each engine, for the engines that
+// are the most versions behind. It ignores the steps, and serves as the baseline for
+// Plan.
 func FurthestBehind(engines []Engine, models []Model, limit int) []Load {
 	var all []Load
 	for _, e := range engines {
--- a/kernel/loads/loads.go
+++ b/kernel/loads/loads.go
@@ -1,32 +1,32 @@
-// Package loads decides which engine loads which model's newest version next.
-// The weight store serves a few loads at a time, so that with several models not
-// every engine can follow every version: each load goes where the steps that wait
-// or are about to come gain most. The package is pure.
+// Package loads decides which engine loads the newest version of which model next.
+// The weight store serves only a few loads at a time, so with several models an engine
+// can't load every version. Plan gives each load to the engine and model for which the
+// steps gain most. The package has no I/O and no state.
 package loads
 
 import (
 	"croftmoor.dev/kernel/ident"
 )
 
-// Engine is a model engine as a load may find it.
+// Engine is a model engine that can be ordered to load weights.
 type Engine struct {
 	Name ident.BackendName
-	// Speed is its usual speed as a multiple of the median engine's.
+	// Speed is the engine's usual speed as a multiple of the median engine's.
 	Speed float64
-	// Versions are the versions that it has, or will have once the load that it
-	// carries out has ended.
+	// Versions is the version of each model that the engine has, or will have when
+	// the load in progress ends.
 	Versions map[ident.Model]ident.Version
-	// Unavailable tells that it can't be ordered to load now.
+	// Unavailable engines can't be ordered to load now.
 	Unavailable bool
 }
 
-// Step is items of one step that wait for engines, or are expected to.
+// Step is the set of items of one step that wait for engines, or are expected soon.
 type Step struct {
-	// MinVersion is the oldest version that may run them.
+	// MinVersion is the oldest version that may run the items.
 	MinVersion ident.Version
-	// Work is what they are expected to take, in tokens.
+	// Work is the expected length of the items, in tokens.
 	Work float64
-	// Waiting tells that the items wait now.
+	// Waiting is true if the items wait now, and false if they are expected.
 	Waiting bool
 }
 
@@ -37,34 +37,36 @@
 	Steps  []Step
 }
 
-// Load is one load to order.
+// Load is an order to an engine to load a version of a model.
 type Load struct {
 	Engine ident.BackendName
 	Model  ident.Model
-	// PreviousVersion is the version that the engine has before.
+	// PreviousVersion is the version that the engine has before the load.
 	PreviousVersion ident.Version
 	Version         ident.Version
 }
 
 const (
-	// loadingCost is what it costs that an engine takes no new items of the model
-	// while it loads, as a share of what it is worth to the step that waits.
+	// loadingCost is the share of an engine's value to a waiting step that is lost
+	// while it loads, because it takes no new items of the model.
 	loadingCost = 0.3
-	// speedWeight is how much a step's first engine is chosen by its worth; the rest is
-	// for having one at all.
+	// speedWeight is the share of the gain of a step's first engine that depends on
+	// that engine's speed; the rest is for having an engine at all.
 	speedWeight = 0.1
-	// minSpeed keeps an engine that has turned slow in the running, behind others.
+	// minSpeed is the lowest speed that the planner assumes, so that a slow engine
+	// keeps a small gain and is chosen last.
 	minSpeed = 0.05
 )
 
-// plan is the state of a planning: what engines will have once the loads chosen
-// so far have ended.
+// plan is the state of one call of Plan: the engines as they will be when the loads
+// chosen so far have ended.
 type plan struct {
 	engines []Engine
 	models  []Model
 }
 
-// Plan returns the loads to order now, most valuable first, no more than most.
+// Plan returns at most limit loads to order now, the most valuable first, with at most
+// one for each engine. It does not change its arguments.
 func Plan(engines []Engine, models []Model, limit int) []Load {
 	p := &plan{engines: make([]Engine, 0, len(engines)), models: models}
 	for _, e := range engines {
@@ -88,7 +90,8 @@
 	return chosen
 }
 
-// best returns the load that is worth most now.
+// best returns the load with the highest positive gain and the index of its engine, or
+// false if there is none.
 func (p *plan) best() (Load, int, bool) {
 	var best Load
 	index, bestGain := -1, 0.0
@@ -107,8 +110,8 @@
 	return best, index, index >= 0
 }
 
-// supplies returns for each step of a model what the engines that can run it are
-// worth together.
+// supplies returns, for each step of a model, the sum of sharedSpeed over the engines
+// that can run it.
 func (p *plan) supplies(m Model) []float64 {
 	supply := make([]float64, len(m.Steps))
 	for _, e := range p.engines {
@@ -121,8 +124,9 @@
 	return supply
 }
 
-// gain returns what a load is worth: the first engines of a step count most, and
-// an engine that serves a waiting step does not do so while it loads.
+// gain returns the value of a load in tokens: the share of the steps' work that the
+// engine newly serves, less the cost of not serving a waiting step while it loads. The
+// fewer engines a step has, the higher the gain. supply is the result of supplies.
 func (p *plan) gain(e Engine, m Model, supply []float64) float64 {
 	gain := 0.0
 	worth := p.sharedSpeed(e, m)
@@ -137,8 +141,8 @@
 	return gain
 }
 
-// sharedSpeed returns what an engine counts for a model: it is shared by all models whose
-// steps it serves.
+// sharedSpeed returns the engine's speed divided by the number of models that it serves,
+// the given one included.
 func (p *plan) sharedSpeed(e Engine, m Model) float64 {
 	otherModels := 0
 	for _, other := range p.models {
@@ -150,7 +154,7 @@
 	return speed / float64(1+otherModels)
 }
 
-// serves tells whether an engine can run a step of a model.
+// serves reports whether an engine can run a step of a model.
 func serves(e Engine, m Model) bool {
 	for _, s := range m.Steps {
 		if e.Versions[m.Name] >= s.MinVersion {
--- a/kernel/loads/loads_test.go
+++ b/kernel/loads/loads_test.go
@@ -9,8 +9,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// fleet returns engines of the median speed that have the given versions of
-// models a and b.
+// fleet returns engines of the median speed with the given versions of models a and b.
 func fleet(versions ...[2]ident.Version) []Engine {
 	var engines []Engine
 	for n, v := range versions {
@@ -77,8 +76,8 @@
 	})
 }
 
-// world is engines that take a round for a load, and models whose trainers name
-// versions in any order.
+// world simulates engines that complete a load in one round, and models whose newest
+// versions advance in any order.
 type world struct {
 	engines []Engine
 	models  []Model
@@ -102,16 +101,15 @@
 	return w
 }
 
-// name lets the trainer of a model name a version and ask for the step that takes
-// the one before.
+// name raises the newest version of a model, with a waiting step that needs the version
+// before it and an expected step that needs the new one.
 func (w *world) name(n int) {
 	m := &w.models[n]
 	m.Newest++
 	m.Steps = []Step{{MinVersion: m.Newest - 1, Work: 100, Waiting: true}, {MinVersion: m.Newest, Work: 70}}
 }
 
-// served tells whether an engine has the version that the waiting step of a model
-// takes.
+// served reports whether an engine can run the waiting step of a model.
 func (w *world) served(m Model) bool {
 	for _, e := range w.engines {
 		if len(m.Steps) == 0 || e.Versions[m.Name] >= m.Steps[0].MinVersion {
@@ -121,7 +119,7 @@
 	return false
 }
 
-// round orders loads, checks them, and ends them.
+// round plans loads, checks them, and completes them.
 func (w *world) round(t *rapid.T) {
 	without := 0
 	for _, m := range w.models {
@@ -133,7 +131,7 @@
 	loaded := map[ident.BackendName]bool{}
 	for _, l := range chosen {
 		if loaded[l.Engine] {
-			t.Fatalf("engine %s is ordered twice", l.Engine)
+			t.Fatalf("engine %s was ordered to load twice in one round", l.Engine)
 		}
 		loaded[l.Engine] = true
 		if l.Version <= l.PreviousVersion {
@@ -152,13 +150,13 @@
 		}
 	}
 	if got, able := without-still, min(without, len(chosen)); got < able {
-		t.Fatalf("%d steps had no engine, %d loads served %d of them", without, len(chosen), got)
+		t.Fatalf("%d steps had no engine; %d loads served only %d of them", without, len(chosen), got)
 	}
 }
 
-// Whatever order versions come in: a step that waits without an engine gets one
-// as early as the loads allow, and once no version comes any more every engine
-// has the newest ones.
+// Guards against starvation: a waiting step without an engine must get one as early as
+// the loads allow, and every engine must reach the newest versions once these stop
+// advancing.
 func TestPlanServesEveryTrainer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawWorld(t)
@@ -179,7 +177,7 @@
 		for _, e := range w.engines {
 			for _, m := range w.models {
 				if e.Versions[m.Name] != m.Newest {
-					t.Fatalf("engine %s has version %d of model %s, %d was named", e.Name, e.Versions[m.Name], m.Name, m.Newest)
+					t.Fatalf("engine %s has version %d of model %s, want %d", e.Name, e.Versions[m.Name], m.Name, m.Newest)
 				}
 			}
 		}
