--- a/croftmoor/calls/calls_test.go
+++ b/croftmoor/calls/calls_test.go
@@ -42,7 +42,7 @@
 	if c.known != nil {
 		return *c.known, nil
 	}
-	return once.Entry{ID: r.ID, Status: once.Granted, Runner: r.Runner, Flight: r.Flight}, nil
+	return once.Entry{ID: r.ID, Status: once.Granted, Runner: r.Runner, Attempt: r.Attempt}, nil
 }
 
 func (c *claimer) Settle(_ context.Context, s once.Settlement) {
--- a/croftmoor/calls/once.go
+++ b/croftmoor/calls/once.go
@@ -20,7 +20,7 @@
 // doOnce runs a call that may not be repeated: only under a grant, and on a
 // second server only if the first certainly did not run it.
 func (c *Caller) doOnce(ctx context.Context, r Request) (Answer, error) {
-	claim := once.Request{ID: r.ID, Runner: c.Self, Flight: c.Claimer.NewFlight(), Issued: r.Issued}
+	claim := once.Request{ID: r.ID, Runner: c.Self, Attempt: c.Claimer.NewFlight(), Issued: r.Issued}
 	for {
 		entry, err := c.Claimer.Claim(ctx, claim)
 		if err != nil {
@@ -31,7 +31,7 @@
 			return Answer{}, refusal
 		}
 		switch {
-		case entry.Status == once.Granted && entry.Runner == c.Self && entry.Flight == claim.Flight:
+		case entry.Status == once.Granted && entry.Runner == c.Self && entry.Attempt == claim.Attempt:
 			c.note(r, trail.Grant, "", "", "granted by the id's shard")
 			return c.runGranted(ctx, r, claim)
 		case entry.Status == once.Done:
@@ -98,7 +98,7 @@
 		answer = Answer{}
 	}
 	settlement := once.Settlement{
-		ID: claim.ID, Runner: claim.Runner, Flight: claim.Flight, Outcome: outcome,
+		ID: claim.ID, Runner: claim.Runner, Attempt: claim.Attempt, Outcome: outcome,
 		Answer: once.Answer{Status: answer.Status, Body: answer.Body, Backend: answer.Backend},
 	}
 	c.group.Go(func() { c.Claimer.Settle(context.Background(), settlement) })
--- a/croftmoor/home/home.go
+++ b/croftmoor/home/home.go
@@ -95,7 +95,7 @@
 		c.mu.Lock()
 		before := c.shard.View()
 		hadState := c.shard.HasState()
-		c.shard.OnView(state.Views.Views[i], now)
+		c.shard.ApplyView(state.Views.Views[i], now)
 		if before.Primary != h.Self && c.shard.View().Primary == h.Self {
 			c.yields = h.lastLease(c, before, hadState)
 		}
@@ -181,7 +181,7 @@
 		err = c.shard.Confirm(op)
 	}
 	if err != nil {
-		c.shard.Deny(op)
+		c.shard.Abort(op)
 		return once.Entry{}, fault.Wrap("home.ClaimHere", once.NotReady, err, "the shard's backup did not record the claim")
 	}
 	return op.Entry, nil
--- a/croftmoor/home/mover.go
+++ b/croftmoor/home/mover.go
@@ -102,7 +102,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.shard.Installed(snapshot.Epoch)
+	c.shard.ConfirmInstall(snapshot.Epoch)
 	c.mu.Unlock()
 }
 
--- a/croftmoor/peers/peers_test.go
+++ b/croftmoor/peers/peers_test.go
@@ -28,7 +28,7 @@
 	if r.ID == "refused" {
 		return once.Entry{}, fault.New("test", once.NotPrimary, "led by b")
 	}
-	return once.Entry{ID: r.ID, Status: once.Done, Runner: r.Runner, Flight: r.Flight, Answer: once.Answer{Status: 200, Body: []byte("x")}}, nil
+	return once.Entry{ID: r.ID, Status: once.Done, Runner: r.Runner, Attempt: r.Attempt, Answer: once.Answer{Status: 200, Body: []byte("x")}}, nil
 }
 func (*echo) RecordHere(Record) error                           { return fault.New("test", once.OldEpoch, "moved on") }
 func (*echo) InstallHere(Install) error                         { return nil }
@@ -98,8 +98,8 @@
 	e := &echo{}
 	client, _ := pair(t, e)
 	t.Run("entries and errors keep their meaning", func(t *testing.T) {
-		entry, err := client.Claim(ctx, "b-1", once.Request{ID: "x", Runner: "a", Flight: 7})
-		if err != nil || entry.Flight != 7 || string(entry.Answer.Body) != "x" {
+		entry, err := client.Claim(ctx, "b-1", once.Request{ID: "x", Runner: "a", Attempt: 7})
+		if err != nil || entry.Attempt != 7 || string(entry.Answer.Body) != "x" {
 			t.Fatalf("%+v %v", entry, err)
 		}
 		_, err = client.Claim(ctx, "b-1", once.Request{ID: "refused"})
--- a/croftmoor/peers/wire.go
+++ b/croftmoor/peers/wire.go
@@ -154,12 +154,12 @@
 }
 
 func claimToWire(r once.Request) claimWire {
-	return claimWire{ID: string(r.ID), Runner: string(r.Runner), Flight: r.Flight, Issued: int64(r.Issued)}
+	return claimWire{ID: string(r.ID), Runner: string(r.Runner), Flight: r.Attempt, Issued: int64(r.Issued)}
 }
 
 func claimFromWire(w claimWire) once.Request {
 	return once.Request{
-		ID: ident.RequestID(w.ID), Runner: ident.InstanceName(w.Runner), Flight: w.Flight, Issued: clock.Millis(w.Issued),
+		ID: ident.RequestID(w.ID), Runner: ident.InstanceName(w.Runner), Attempt: w.Flight, Issued: clock.Millis(w.Issued),
 	}
 }
 
@@ -173,14 +173,14 @@
 
 func entryToWire(e once.Entry) entryWire {
 	return entryWire{
-		ID: string(e.ID), Status: string(e.Status), Runner: string(e.Runner), Flight: e.Flight,
+		ID: string(e.ID), Status: string(e.Status), Runner: string(e.Runner), Flight: e.Attempt,
 		At: int64(e.At), Answer: answerToWire(e.Answer),
 	}
 }
 
 func entryFromWire(w entryWire) once.Entry {
 	return once.Entry{
-		ID: ident.RequestID(w.ID), Status: once.Status(w.Status), Runner: ident.InstanceName(w.Runner), Flight: w.Flight,
+		ID: ident.RequestID(w.ID), Status: once.Status(w.Status), Runner: ident.InstanceName(w.Runner), Attempt: w.Flight,
 		At: clock.Millis(w.At), Answer: answerFromWire(w.Answer),
 	}
 }
@@ -221,13 +221,13 @@
 
 func settleToWire(t once.Settlement) settleWire {
 	return settleWire{
-		ID: string(t.ID), Runner: string(t.Runner), Flight: t.Flight, Outcome: string(t.Outcome), Answer: answerToWire(t.Answer),
+		ID: string(t.ID), Runner: string(t.Runner), Flight: t.Attempt, Outcome: string(t.Outcome), Answer: answerToWire(t.Answer),
 	}
 }
 
 func settleFromWire(w settleWire) once.Settlement {
 	return once.Settlement{
-		ID: ident.RequestID(w.ID), Runner: ident.InstanceName(w.Runner), Flight: w.Flight,
+		ID: ident.RequestID(w.ID), Runner: ident.InstanceName(w.Runner), Attempt: w.Flight,
 		Outcome: once.Outcome(w.Outcome), Answer: answerFromWire(w.Answer),
 	}
 }
--- a/kernel/once/bench_test.go
+++ b/kernel/once/bench_test.go
@@ -11,16 +11,16 @@
 
 func BenchmarkClaimAndSettle(b *testing.B) {
 	s := &Shard{Self: "a", RepeatWindow: clock.Minute}
-	s.OnView(views.View{Epoch: 1, Primary: "a"}, 0)
+	s.ApplyView(views.View{Epoch: 1, Primary: "a"}, 0)
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
 		n++
 		id := ident.RequestID(strconv.Itoa(n))
-		_, op, err := s.Claim(Request{ID: id, Runner: "a", Flight: 1}, 1, grants)
+		_, op, err := s.Claim(Request{ID: id, Runner: "a", Attempt: 1}, 1, grants)
 		if err != nil || s.Confirm(op) != nil {
 			b.Fatal("not granted")
 		}
-		s.Settle(Settlement{ID: id, Runner: "a", Flight: 1, Outcome: Ran})
+		s.Settle(Settlement{ID: id, Runner: "a", Attempt: 1, Outcome: Ran})
 	}
 }
--- a/kernel/once/once.go
+++ b/kernel/once/once.go
@@ -69,15 +69,15 @@
 	ID     ident.RequestID
 	Status Status
 	Runner ident.InstanceName
-	// Flight tells the runner's own tries apart, so that a late settlement of
+	// Attempt tells the runner's own tries apart, so that a late settlement of
 	// one does not free another.
-	Flight int64
-	At     clock.Millis
-	Answer Answer
+	Attempt int64
+	At      clock.Millis
+	Answer  Answer
 }
 
-func (e Entry) sameFlight(other Entry) bool {
-	return e.Runner == other.Runner && e.Flight == other.Flight
+func (e Entry) sameAttempt(other Entry) bool {
+	return e.Runner == other.Runner && e.Attempt == other.Attempt
 }
 
 // Op is a change that the primary passes to its backup.
@@ -96,11 +96,11 @@
 
 	view    views.View
 	entries map[ident.RequestID]Entry
-	// installed is the epoch for which this instance has the whole state.
-	installed ident.Offset
-	// backupHas is the epoch for which the backup acknowledged the whole state.
-	backupHas ident.Offset
-	lostUntil clock.Millis
+	// installedEpoch is the epoch for which this instance has the whole state.
+	installedEpoch ident.Offset
+	// backupEpoch is the epoch for which the backup acknowledged the whole state.
+	backupEpoch ident.Offset
+	lostUntil   clock.Millis
 }
 
 // View returns the view that the shard works under.
@@ -108,8 +108,8 @@
 	return s.view
 }
 
-// OnView moves the shard to a newer view.
-func (s *Shard) OnView(view views.View, now clock.Millis) {
+// ApplyView moves the shard to a newer view.
+func (s *Shard) ApplyView(view views.View, now clock.Millis) {
 	if view.Epoch <= s.view.Epoch {
 		return
 	}
@@ -118,7 +118,7 @@
 	s.view = view
 	if !view.Has(s.Self) {
 		s.entries = nil
-		s.installed = 0
+		s.installedEpoch = 0
 		return
 	}
 	if s.entries == nil {
@@ -132,26 +132,26 @@
 	if !fresh && !kept {
 		s.lostUntil = now + s.RepeatWindow
 	}
-	s.installed = view.Epoch
+	s.installedEpoch = view.Epoch
 }
 
 // HasState tells whether this instance holds the whole state of the view.
 func (s *Shard) HasState() bool {
-	return s.view.Epoch != 0 && s.installed == s.view.Epoch && s.view.Has(s.Self)
+	return s.view.Epoch != 0 && s.installedEpoch == s.view.Epoch && s.view.Has(s.Self)
 }
 
 // Synced tells whether the view could lose this instance's partner without
 // losing state.
 func (s *Shard) Synced() bool {
 	if s.view.Primary == s.Self {
-		return s.HasState() && (s.view.Backup == "" || s.backupHas == s.view.Epoch)
+		return s.HasState() && (s.view.Backup == "" || s.backupEpoch == s.view.Epoch)
 	}
 	return s.HasState()
 }
 
 // NeedsInstall tells whether the primary still owes its backup the state.
 func (s *Shard) NeedsInstall() bool {
-	return s.view.Primary == s.Self && s.HasState() && s.view.Backup != "" && s.backupHas != s.view.Epoch
+	return s.view.Primary == s.Self && s.HasState() && s.view.Backup != "" && s.backupEpoch != s.view.Epoch
 }
 
 // Guard says why the primary must not grant although its view allows it; ""
@@ -160,9 +160,9 @@
 
 // Request asks to run an id.
 type Request struct {
-	ID     ident.RequestID
-	Runner ident.InstanceName
-	Flight int64
+	ID      ident.RequestID
+	Runner  ident.InstanceName
+	Attempt int64
 	// Issued is when the caller made the id, if the id tells so; else 0.
 	Issued clock.Millis
 }
@@ -173,27 +173,27 @@
 
 // Claim asks to run an id. A Pending entry is new: the caller passes Op to the
 // backup, then calls Confirm or Deny. Any other entry was known before.
-func (s *Shard) Claim(c Request, now clock.Millis, guard Guard) (Entry, Op, error) {
+func (s *Shard) Claim(request Request, now clock.Millis, guard Guard) (Entry, Op, error) {
 	if s.view.Primary != s.Self {
 		return Entry{}, Op{}, fault.New("once.Claim", NotPrimary, "led by "+string(s.view.Primary))
 	}
 	if !s.HasState() || s.NeedsInstall() {
 		return Entry{}, Op{}, fault.New("once.Claim", NotReady, "the shard's state is on its way")
 	}
-	if known, ok := s.entries[c.ID]; ok && now-known.At <= s.RepeatWindow {
+	if known, ok := s.entries[request.ID]; ok && now-known.At <= s.RepeatWindow {
 		if known.Status == Pending {
 			return Entry{}, Op{}, fault.New("once.Claim", NotReady, "the id waits for the backup")
 		}
 		return known, Op{}, nil
 	}
-	if now < s.lostUntil && c.Issued <= s.lostUntil-s.RepeatWindow+maxSkew {
-		return Entry{ID: c.ID, Status: Unknown}, Op{}, nil
+	if now < s.lostUntil && request.Issued <= s.lostUntil-s.RepeatWindow+maxSkew {
+		return Entry{ID: request.ID, Status: Unknown}, Op{}, nil
 	}
 	if reason := guard(s.view.Backup == ""); reason != "" {
 		return Entry{}, Op{}, fault.New("once.Claim", NotReady, reason)
 	}
-	entry := Entry{ID: c.ID, Status: Pending, Runner: c.Runner, Flight: c.Flight, At: now}
-	s.entries[c.ID] = entry
+	entry := Entry{ID: request.ID, Status: Pending, Runner: request.Runner, Attempt: request.Attempt, At: now}
+	s.entries[request.ID] = entry
 	recorded := entry
 	recorded.Status = Granted
 	return entry, Op{Epoch: s.view.Epoch, Entry: recorded}, nil
@@ -203,7 +203,7 @@
 // the view changed meanwhile; then nothing was granted.
 func (s *Shard) Confirm(op Op) error {
 	entry, ok := s.entries[op.Entry.ID]
-	if s.view.Epoch != op.Epoch || !ok || !entry.sameFlight(op.Entry) {
+	if s.view.Epoch != op.Epoch || !ok || !entry.sameAttempt(op.Entry) {
 		return fault.New("once.Confirm", OldEpoch, "the view changed during the claim")
 	}
 	entry.Status = Granted
@@ -211,11 +211,11 @@
 	return nil
 }
 
-// Deny ends a claim that the backup did not record. The id stays free: in
+// Abort ends a claim that the backup did not record. The id stays free: in
 // this epoch only this primary grants, and it knows that it did not.
-func (s *Shard) Deny(op Op) {
+func (s *Shard) Abort(op Op) {
 	entry, ok := s.entries[op.Entry.ID]
-	if ok && entry.Status == Pending && entry.sameFlight(op.Entry) {
+	if ok && entry.Status == Pending && entry.sameAttempt(op.Entry) {
 		delete(s.entries, op.Entry.ID)
 	}
 }
@@ -237,30 +237,30 @@
 type Settlement struct {
 	ID      ident.RequestID
 	Runner  ident.InstanceName
-	Flight  int64
+	Attempt int64
 	Outcome Outcome
 	Answer  Answer
 }
 
 // Settle ends a grant. It reports false when the grant is not in force here,
 // for instance because the settlement came late; then nothing changes.
-func (s *Shard) Settle(t Settlement) (Op, bool) {
-	entry, ok := s.entries[t.ID]
-	matches := ok && entry.Status == Granted && entry.Runner == t.Runner && entry.Flight == t.Flight
+func (s *Shard) Settle(settlement Settlement) (Op, bool) {
+	entry, ok := s.entries[settlement.ID]
+	matches := ok && entry.Status == Granted && entry.Runner == settlement.Runner && entry.Attempt == settlement.Attempt
 	if !matches || s.view.Primary != s.Self {
 		return Op{}, false
 	}
-	switch t.Outcome {
+	switch settlement.Outcome {
 	case DidNotRun:
-		delete(s.entries, t.ID)
+		delete(s.entries, settlement.ID)
 		return Op{Epoch: s.view.Epoch, Drop: true, Entry: entry}, true
 	case Ran:
 		entry.Status = Done
-		entry.Answer = t.Answer
+		entry.Answer = settlement.Answer
 	case CannotTell:
 		entry.Status = Unknown
 	}
-	s.entries[t.ID] = entry
+	s.entries[settlement.ID] = entry
 	return Op{Epoch: s.view.Epoch, Entry: entry}, true
 }
 
@@ -273,7 +273,7 @@
 		return fault.New("once.Record", NotReady, "the state is not installed")
 	}
 	if op.Drop {
-		if entry, ok := s.entries[op.Entry.ID]; ok && entry.sameFlight(op.Entry) {
+		if entry, ok := s.entries[op.Entry.ID]; ok && entry.sameAttempt(op.Entry) {
 			delete(s.entries, op.Entry.ID)
 		}
 		return nil
@@ -311,7 +311,7 @@
 	if s.view.Epoch != snapshot.Epoch || s.view.Primary != from || s.view.Backup != s.Self {
 		return fault.New("once.Install", OldEpoch, "not the backup in that epoch")
 	}
-	if s.installed == snapshot.Epoch {
+	if s.installedEpoch == snapshot.Epoch {
 		return nil
 	}
 	s.entries = make(map[ident.RequestID]Entry, len(snapshot.Entries))
@@ -319,14 +319,14 @@
 		s.entries[entry.ID] = entry
 	}
 	s.lostUntil = snapshot.LostUntil
-	s.installed = snapshot.Epoch
+	s.installedEpoch = snapshot.Epoch
 	return nil
 }
 
-// Installed notes that the backup acknowledged the whole state.
-func (s *Shard) Installed(epoch ident.Offset) {
+// ConfirmInstall notes that the backup acknowledged the whole state.
+func (s *Shard) ConfirmInstall(epoch ident.Offset) {
 	if epoch == s.view.Epoch {
-		s.backupHas = epoch
+		s.backupEpoch = epoch
 	}
 }
 
--- a/kernel/once/once_test.go
+++ b/kernel/once/once_test.go
@@ -102,7 +102,7 @@
 
 // learn lets an instance read the log up to its end.
 func (m *shardModel) learn(t *rapid.T) {
-	m.shards[m.any(t)].OnView(m.log.Views[0], m.now)
+	m.shards[m.any(t)].ApplyView(m.log.Views[0], m.now)
 }
 
 func (m *shardModel) install(t *rapid.T) {
@@ -113,7 +113,7 @@
 	snapshot := primary.Snapshot(0)
 	backup := m.shards[primary.View().Backup]
 	if backup.Install(snapshot, primary.Self) == nil && rapid.Bool().Draw(t, "acknowledged") {
-		primary.Installed(snapshot.Epoch)
+		primary.ConfirmInstall(snapshot.Epoch)
 	}
 }
 
@@ -124,7 +124,7 @@
 		return
 	}
 	m.flights++
-	request := Request{ID: id, Runner: "runner", Flight: m.flights}
+	request := Request{ID: id, Runner: "runner", Attempt: m.flights}
 	entry, op, err := primary.Claim(request, m.now, func(bool) string { return "" })
 	if err != nil || entry.Status != Pending {
 		return
@@ -138,7 +138,7 @@
 
 func (m *shardModel) confirm(primary *Shard, op Op) {
 	if primary.Confirm(op) != nil {
-		primary.Deny(op)
+		primary.Abort(op)
 		return
 	}
 	m.runs[op.Entry.ID]++
@@ -159,7 +159,7 @@
 		err = b.Record(r.op, r.primary)
 	}
 	if err != nil || rapid.Bool().Draw(t, "answer lost") {
-		primary.Deny(r.op)
+		primary.Abort(r.op)
 		return
 	}
 	m.confirm(primary, r.op)
@@ -172,7 +172,7 @@
 	}
 	for _, entry := range primary.Entries() {
 		if entry.Status == Granted {
-			op, ok := primary.Settle(Settlement{ID: entry.ID, Runner: entry.Runner, Flight: entry.Flight, Outcome: Ran})
+			op, ok := primary.Settle(Settlement{ID: entry.ID, Runner: entry.Runner, Attempt: entry.Attempt, Outcome: Ran})
 			if b := m.shards[primary.View().Backup]; ok && b != nil && rapid.Bool().Draw(t, "arrives") {
 				_ = b.Record(op, primary.Self)
 			}
@@ -206,7 +206,7 @@
 func lead(t *testing.T, view views.View) *Shard {
 	t.Helper()
 	s := &Shard{Self: "a", RepeatWindow: clock.Minute}
-	s.OnView(view, testNow)
+	s.ApplyView(view, testNow)
 	return s
 }
 
@@ -229,19 +229,19 @@
 	first := views.View{Epoch: 1, Primary: "a"}
 	t.Run("a settled id is free or has its answer", func(t *testing.T) {
 		s := lead(t, first)
-		e := assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 1}, now, Pending)
-		s.Settle(Settlement{ID: "x", Runner: "r", Flight: e.Flight, Outcome: DidNotRun})
-		assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 2}, now, Pending)
-		s.Settle(Settlement{ID: "x", Runner: "r", Flight: 2, Outcome: Ran})
-		assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 3}, now, Done)
+		e := assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 1}, now, Pending)
+		s.Settle(Settlement{ID: "x", Runner: "r", Attempt: e.Attempt, Outcome: DidNotRun})
+		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 2}, now, Pending)
+		s.Settle(Settlement{ID: "x", Runner: "r", Attempt: 2, Outcome: Ran})
+		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 3}, now, Done)
 	})
 	t.Run("a late settlement of an earlier flight frees nothing", func(t *testing.T) {
 		s := lead(t, first)
-		assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 2}, now, Pending)
-		if _, ok := s.Settle(Settlement{ID: "x", Runner: "r", Flight: 1, Outcome: DidNotRun}); ok {
+		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 2}, now, Pending)
+		if _, ok := s.Settle(Settlement{ID: "x", Runner: "r", Attempt: 1, Outcome: DidNotRun}); ok {
 			t.Fatal("the settlement of another flight was taken")
 		}
-		assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 3}, now, Granted)
+		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 3}, now, Granted)
 	})
 	t.Run("after a loss, ids that may have run before are unknown", func(t *testing.T) {
 		s := lead(t, views.View{Epoch: 9, Base: 5, Primary: "a", Lost: true})
