--- a/kernel/once/once.go
+++ b/kernel/once/once.go
@@ -1,21 +1,21 @@
-// Package once makes work that may not be repeated run at most once. Each id
-// belongs to a shard; the shard's primary grants an id to one instance, which
-// then runs it, and only after the shard's backup has recorded the grant.
+// Package once runs work that must not be repeated at most once. Each request id
+// belongs to a shard. The shard's primary grants an id to one instance, the
+// runner, only after the shard's backup has recorded the grant.
 //
 //	runner            primary                 backup
 //	  | claim(id, epoch) |                       |
 //	  |----------------->| record(id, epoch)     |
-//	  |                  |---------------------->| refuses if it has moved on
+//	  |                  |---------------------->| refuses if in a later epoch
 //	  |     granted      |<----------------------|
 //	  |<-----------------|                       |
 //	  | runs the work                            |
 //	  | settle(id, outcome)                      |
 //	  |----------------->|---------------------->|
 //
-// A backup that has moved to a later epoch never records for an earlier one,
-// so a primary that was replaced while frozen can't grant anything any more.
-// No clock takes part in that. The primary's own guard (see Guard) matters
-// only where a state was lost or an instance is alone.
+// A backup in a later epoch never records for an earlier one, so a replaced
+// primary can't grant any more, even if it was suspended in between. This does
+// not depend on clocks. The primary's own guard (see Guard) matters only after
+// a loss of state, or while the primary has no backup.
 package once
 
 import (
@@ -30,85 +30,91 @@
 
 // Kinds of errors.
 const (
-	// NotPrimary means that the asked instance does not lead the shard.
+	// NotPrimary means that the called instance is not the shard's primary.
 	NotPrimary Kind = "NotPrimary"
 	// NotReady means that the shard can't grant now; nothing was granted.
 	NotReady Kind = "NotReady"
-	// OldEpoch means that the asked instance has moved to a later epoch.
+	// OldEpoch means that the epochs of caller and called instance differ.
 	OldEpoch Kind = "OldEpoch"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Status is where an id stands.
+// Status is the state of an id.
 type Status string
 
 // Statuses.
 const (
-	// Pending ids wait for the backup.
+	// Pending ids wait for the backup to record the grant.
 	Pending Status = "Pending"
 	// Granted ids may have been run by their runner.
 	Granted Status = "Granted"
 	// Done ids were run and have their answer.
 	Done Status = "Done"
-	// Unknown ids may have run: their runner could not tell, or they may have
-	// been granted before a state was lost.
+	// Unknown ids may have run: their runner could not determine it, or they may
+	// have been granted before the shard lost its state.
 	Unknown Status = "Unknown"
 )
 
-// Answer is the backend server's answer to work that ran.
+// Answer is the backend server's answer to the work.
 type Answer struct {
 	Status  int
 	Body    []byte
 	Backend ident.BackendName
 }
 
-// Entry is what a shard knows of one id.
+// Entry is the record of one id in a shard.
 type Entry struct {
 	ID     ident.RequestID
 	Status Status
 	Runner ident.InstanceName
-	// Attempt tells the runner's own tries apart, so that a late settlement of
-	// one does not free another.
+	// Attempt distinguishes the attempts of one runner, so that a late settlement
+	// of one does not end another.
 	Attempt int64
-	At      clock.Millis
-	Answer  Answer
+	// At is when the id was claimed, on the primary's clock.
+	At     clock.Millis
+	Answer Answer
 }
 
 func (e Entry) sameAttempt(other Entry) bool {
 	return e.Runner == other.Runner && e.Attempt == other.Attempt
 }
 
-// Op is a change that the primary passes to its backup.
+// Op is a change of an entry that the primary replicates to its backup.
 type Op struct {
 	Epoch ident.Offset
-	// Drop removes the entry in place of recording it.
+	// Drop means that the entry is removed rather than recorded.
 	Drop  bool
 	Entry Entry
 }
 
-// Shard is one shard at one instance. It is a state machine without I/O and
-// without locks of its own; see Table.
+// Shard is one shard at one instance. It is a state machine without I/O and without a
+// lock; the caller serialises all calls.
 type Shard struct {
-	Self         ident.InstanceName
+	Self ident.InstanceName
+	// RepeatWindow is how long an entry is kept after its claim.
 	RepeatWindow clock.Millis
 
 	view    views.View
 	entries map[ident.RequestID]Entry
-	// installedEpoch is the epoch for which this instance has the whole state.
+	// installedEpoch is the epoch for which this instance has the complete state.
 	installedEpoch ident.Offset
-	// backupEpoch is the epoch for which the backup acknowledged the whole state.
+	// backupEpoch is the epoch for which the backup acknowledged the complete state.
 	backupEpoch ident.Offset
-	lostUntil   clock.Millis
+	// lostUntil is the time until which an id without an entry may have been granted
+	// before a loss of state.
+	lostUntil clock.Millis
 }
 
-// View returns the view that the shard works under.
+// View returns the current view.
 func (s *Shard) View() views.View {
 	return s.view
 }
 
-// ApplyView moves the shard to a newer view.
+// ApplyView moves the shard to a newer view; older ones are ignored. A member keeps its
+// entries, a non-member drops them. A new primary that did not hold the state of the
+// previous view treats the state as lost for RepeatWindow.
 func (s *Shard) ApplyView(view views.View, now clock.Millis) {
 	if view.Epoch <= s.view.Epoch {
 		return
@@ -135,13 +141,12 @@
 	s.installedEpoch = view.Epoch
 }
 
-// HasState tells whether this instance holds the whole state of the view.
+// HasState reports whether this instance holds the complete state of the view.
 func (s *Shard) HasState() bool {
 	return s.view.Epoch != 0 && s.installedEpoch == s.view.Epoch && s.view.Has(s.Self)
 }
 
-// Synced tells whether the view could lose this instance's partner without
-// losing state.
+// Synced reports whether the other member could be replaced without loss of state.
 func (s *Shard) Synced() bool {
 	if s.view.Primary == s.Self {
 		return s.HasState() && (s.view.Backup == "" || s.backupEpoch == s.view.Epoch)
@@ -149,40 +154,41 @@
 	return s.HasState()
 }
 
-// NeedsInstall tells whether the primary still owes its backup the state.
+// NeedsInstall reports whether the primary must still send the state to its backup.
 func (s *Shard) NeedsInstall() bool {
 	return s.view.Primary == s.Self && s.HasState() && s.view.Backup != "" && s.backupEpoch != s.view.Epoch
 }
 
-// Guard says why the primary must not grant although its view allows it; ""
-// means that it may. Alone tells whether the view has no backup.
+// Guard returns the reason why the primary must not grant although its view allows it, or
+// "" if it may grant. alone is true if the view has no backup.
 type Guard func(alone bool) string
 
-// Request asks to run an id.
+// Request asks for the right to run an id.
 type Request struct {
 	ID      ident.RequestID
 	Runner  ident.InstanceName
 	Attempt int64
-	// Issued is when the caller made the id, if the id tells so; else 0.
+	// Issued is when the caller created the id, if the id contains the time; else 0.
 	Issued clock.Millis
 }
 
-// maxSkew bounds how far the clocks of callers and instances differ. It
-// matters only after a state was lost.
+// maxSkew bounds the difference between the clocks of callers and instances. It matters
+// only after a loss of state.
 const maxSkew = 2 * clock.Second
 
-// Claim asks to run an id. A Pending entry is new: the caller passes Op to the
-// backup, then calls Confirm or Deny. Any other entry was known before.
+// Claim asks for the right to run an id. If the returned entry is Pending, the claim is
+// new: the caller sends the Op to the backup, then calls Confirm or Abort. Any other
+// entry existed before, or is Unknown after a loss of state.
 func (s *Shard) Claim(request Request, now clock.Millis, guard Guard) (Entry, Op, error) {
 	if s.view.Primary != s.Self {
-		return Entry{}, Op{}, fault.New("once.Claim", NotPrimary, "led by "+string(s.view.Primary))
+		return Entry{}, Op{}, fault.New("once.Claim", NotPrimary, "the shard's primary is "+string(s.view.Primary))
 	}
 	if !s.HasState() || s.NeedsInstall() {
-		return Entry{}, Op{}, fault.New("once.Claim", NotReady, "the shard's state is on its way")
+		return Entry{}, Op{}, fault.New("once.Claim", NotReady, "the shard's state is not installed at the primary and its backup")
 	}
 	if known, ok := s.entries[request.ID]; ok && now-known.At <= s.RepeatWindow {
 		if known.Status == Pending {
-			return Entry{}, Op{}, fault.New("once.Claim", NotReady, "the id waits for the backup")
+			return Entry{}, Op{}, fault.New("once.Claim", NotReady, "another claim of the id waits for the backup")
 		}
 		return known, Op{}, nil
 	}
@@ -199,20 +205,20 @@
 	return entry, Op{Epoch: s.view.Epoch, Entry: recorded}, nil
 }
 
-// Confirm completes a claim after the backup has recorded it. It fails when
-// the view changed meanwhile; then nothing was granted.
+// Confirm completes a claim after the backup has recorded it. If the view has changed
+// since the claim, it returns OldEpoch and nothing is granted.
 func (s *Shard) Confirm(op Op) error {
 	entry, ok := s.entries[op.Entry.ID]
 	if s.view.Epoch != op.Epoch || !ok || !entry.sameAttempt(op.Entry) {
-		return fault.New("once.Confirm", OldEpoch, "the view changed during the claim")
+		return fault.New("once.Confirm", OldEpoch, "the shard's view changed during the claim")
 	}
 	entry.Status = Granted
 	s.entries[op.Entry.ID] = entry
 	return nil
 }
 
-// Abort ends a claim that the backup did not record. The id stays free: in
-// this epoch only this primary grants, and it knows that it did not.
+// Abort ends a claim that the backup did not record, and frees the id. This is safe:
+// only this primary can grant in its epoch, and it did not.
 func (s *Shard) Abort(op Op) {
 	entry, ok := s.entries[op.Entry.ID]
 	if ok && entry.Status == Pending && entry.sameAttempt(op.Entry) {
@@ -229,11 +235,11 @@
 	Ran Outcome = "Ran"
 	// DidNotRun means that the work certainly did not run; the id is free again.
 	DidNotRun Outcome = "DidNotRun"
-	// CannotTell means that the runner gave up without knowing.
+	// CannotTell means that the runner gave up without knowing whether the work ran.
 	CannotTell Outcome = "CannotTell"
 )
 
-// Settlement tells the primary how a grant ended.
+// Settlement reports to the primary how a grant ended.
 type Settlement struct {
 	ID      ident.RequestID
 	Runner  ident.InstanceName
@@ -242,8 +248,8 @@
 	Answer  Answer
 }
 
-// Settle ends a grant. It reports false when the grant is not in force here,
-// for instance because the settlement came late; then nothing changes.
+// Settle ends a grant and returns the Op for the backup. It returns false and changes
+// nothing if the grant is not in force here, for instance after a late settlement.
 func (s *Shard) Settle(settlement Settlement) (Op, bool) {
 	entry, ok := s.entries[settlement.ID]
 	matches := ok && entry.Status == Granted && entry.Runner == settlement.Runner && entry.Attempt == settlement.Attempt
@@ -264,13 +270,14 @@
 	return Op{Epoch: s.view.Epoch, Entry: entry}, true
 }
 
-// Record is the backup's part of a claim or a settlement.
+// Record applies an Op at the backup. It returns OldEpoch unless the sender is the
+// primary and this instance the backup in the Op's epoch, and NotReady before Install.
 func (s *Shard) Record(op Op, from ident.InstanceName) error {
 	if s.view.Epoch != op.Epoch || s.view.Primary != from || s.view.Backup != s.Self {
-		return fault.New("once.Record", OldEpoch, "not the backup in that epoch")
+		return fault.New("once.Record", OldEpoch, "this instance is not the sender's backup in that epoch")
 	}
 	if !s.HasState() {
-		return fault.New("once.Record", NotReady, "the state is not installed")
+		return fault.New("once.Record", NotReady, "the backup has not installed the shard's state")
 	}
 	if op.Drop {
 		if entry, ok := s.entries[op.Entry.ID]; ok && entry.sameAttempt(op.Entry) {
@@ -282,7 +289,7 @@
 	return nil
 }
 
-// Entries returns all entries, for Install at the backup.
+// Entries returns all entries that are not Pending, for Install at the backup.
 func (s *Shard) Entries() []Entry {
 	entries := make([]Entry, 0, len(s.entries))
 	for _, entry := range s.entries {
@@ -293,7 +300,7 @@
 	return entries
 }
 
-// Snapshot is a shard's whole state on its way to a backup.
+// Snapshot is the complete state of a shard, sent to a new backup.
 type Snapshot struct {
 	Shard     views.Shard
 	Epoch     ident.Offset
@@ -301,15 +308,16 @@
 	LostUntil clock.Millis
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the complete state, labelled with the shard's number.
 func (s *Shard) Snapshot(shard views.Shard) Snapshot {
 	return Snapshot{Shard: shard, Epoch: s.view.Epoch, Entries: s.Entries(), LostUntil: s.lostUntil}
 }
 
-// Install takes the primary's whole state at the backup.
+// Install replaces the backup's state by the primary's. It returns OldEpoch unless the
+// sender is the primary and this instance the backup in the snapshot's epoch.
 func (s *Shard) Install(snapshot Snapshot, from ident.InstanceName) error {
 	if s.view.Epoch != snapshot.Epoch || s.view.Primary != from || s.view.Backup != s.Self {
-		return fault.New("once.Install", OldEpoch, "not the backup in that epoch")
+		return fault.New("once.Install", OldEpoch, "this instance is not the sender's backup in that epoch")
 	}
 	if s.installedEpoch == snapshot.Epoch {
 		return nil
@@ -323,14 +331,14 @@
 	return nil
 }
 
-// ConfirmInstall notes that the backup acknowledged the whole state.
+// ConfirmInstall notes that the backup acknowledged the complete state of an epoch.
 func (s *Shard) ConfirmInstall(epoch ident.Offset) {
 	if epoch == s.view.Epoch {
 		s.backupEpoch = epoch
 	}
 }
 
-// Expire forgets entries that are older than the repeat window.
+// Expire removes entries older than the repeat window, except Pending ones.
 func (s *Shard) Expire(now clock.Millis) {
 	for id, entry := range s.entries {
 		if now-entry.At > s.RepeatWindow && entry.Status != Pending {
@@ -339,7 +347,7 @@
 	}
 }
 
-// Len returns how many ids the shard remembers.
+// Len returns the number of entries.
 func (s *Shard) Len() int {
 	return len(s.entries)
 }
--- a/kernel/once/once_test.go
+++ b/kernel/once/once_test.go
@@ -14,16 +14,15 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// CI draws the same histories every time; elsewhere each run draws others.
+// In CI, rapid uses a fixed seed; elsewhere every run draws new histories.
 func init() {
 	if os.Getenv("CI") != "" {
 		_ = flag.Set("rapid.seed", "20261202")
 	}
 }
 
-// shardModel runs one shard at three instances with messages that are delayed,
-// doubled and lost, views that are learnt late, and instances that lose their
-// memory. What it holds against all of them: no id is granted twice.
+// shardModel runs one shard at three instances, with lost and delayed messages and views
+// that instances learn late. Invariant: no id is granted twice.
 type shardModel struct {
 	names   []ident.InstanceName
 	shards  map[ident.InstanceName]*Shard
@@ -35,7 +34,7 @@
 	now     clock.Millis
 }
 
-// pendingRecord is a claim that waits for its backup.
+// pendingRecord is a claim whose Op is in flight to the backup.
 type pendingRecord struct {
 	primary ident.InstanceName
 	backup  ident.InstanceName
@@ -59,7 +58,7 @@
 	return rapid.SampledFrom(m.names).Draw(t, "instance")
 }
 
-// some returns an instance for which the condition holds, or nil.
+// some draws an instance for which the condition holds, or returns nil.
 func (m *shardModel) some(t *rapid.T, condition func(*Shard) bool) *Shard {
 	var fit []*Shard
 	for _, name := range m.names {
@@ -75,8 +74,8 @@
 
 func leads(s *Shard) bool { return s.View().Primary == s.Self }
 
-// propose has an instance propose a view as the policy would let it: with its
-// own view as the base, and only from state that it holds.
+// propose draws a view that the policy allows: based on the proposer's own view, and only
+// from an instance that holds the state.
 func (m *shardModel) propose(t *rapid.T) {
 	s := m.some(t, func(s *Shard) bool { return s.View().Epoch == 0 || s.HasState() })
 	if s == nil {
@@ -97,10 +96,10 @@
 
 func (m *shardModel) append(p views.Proposal) {
 	m.offset++
-	m.log.Judge([]views.Proposal{p}, m.offset, m.now)
+	m.log.Apply([]views.Proposal{p}, m.offset, m.now)
 }
 
-// learn lets an instance read the log up to its end.
+// learn applies the newest view at one instance.
 func (m *shardModel) learn(t *rapid.T) {
 	m.shards[m.any(t)].ApplyView(m.log.Views[0], m.now)
 }
@@ -144,8 +143,8 @@
 	m.runs[op.Entry.ID]++
 }
 
-// deliver ends one waiting claim: the backup may record it, and the answer
-// may be lost.
+// deliver ends one pending record: the Op may not arrive, and its acknowledgement may be
+// lost.
 func (m *shardModel) deliver(t *rapid.T) {
 	if len(m.records) == 0 {
 		return
@@ -199,10 +198,10 @@
 	})
 }
 
-// testNow is the time in the tests on single claims.
+// testNow is the current time in the tests of single claims.
 const testNow = clock.Minute
 
-// lead makes a shard lead alone.
+// lead returns a shard at instance a under the given view.
 func lead(t *testing.T, view views.View) *Shard {
 	t.Helper()
 	s := &Shard{Self: "a", RepeatWindow: clock.Minute}
@@ -239,7 +238,7 @@
 		s := lead(t, first)
 		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 2}, now, Pending)
 		if _, ok := s.Settle(Settlement{ID: "x", Runner: "r", Attempt: 1, Outcome: DidNotRun}); ok {
-			t.Fatal("the settlement of another flight was taken")
+			t.Fatal("the settlement of another attempt was applied")
 		}
 		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 3}, now, Granted)
 	})
@@ -254,7 +253,7 @@
 		s := lead(t, first)
 		_, _, err := s.Claim(Request{ID: "x"}, now, func(alone bool) string { return fmt.Sprint("alone ", alone) })
 		if err == nil {
-			t.Fatal("granted against the guard")
+			t.Fatal("the claim was granted although the guard refused")
 		}
 	})
 }
