--- a/croftmoor/home/home.go
+++ b/croftmoor/home/home.go
@@ -285,7 +285,7 @@
 	var list []ident.InstanceName
 	for i := range h.shards {
 		view := h.view(views.Shard(i))
-		other := view.Other(h.Self)
+		other := view.Partner(h.Self)
 		if view.Has(h.Self) && other != "" && !seen[other] {
 			seen[other] = true
 			list = append(list, other)
--- a/kernel/views/policy.go
+++ b/kernel/views/policy.go
@@ -94,17 +94,17 @@
 		return p, primary == s.Self
 	}
 	if !view.Has(s.Self) {
-		return nextLost(p, view, s, primary, backup)
+		return nextAsOutsider(p, view, s, primary, backup)
 	}
-	other := view.Other(s.Self)
+	other := view.Partner(s.Self)
 	if view.Primary != s.Self {
 		return nextAsBackup(p, s, other)
 	}
 	return nextAsPrimary(p, view, s, primary, backup)
 }
 
-// nextLost starts a shard anew when both members are gone.
-func nextLost(p Proposal, view View, s Situation, primary, backup ident.InstanceName) (Proposal, bool) {
+// nextAsOutsider starts a shard anew when both members are gone.
+func nextAsOutsider(p Proposal, view View, s Situation, primary, backup ident.InstanceName) (Proposal, bool) {
 	if primary != s.Self || !s.MostReached || !s.Gone(view.Primary) {
 		return p, false
 	}
@@ -122,20 +122,20 @@
 		return p, false
 	}
 	if s.Synced {
-		p.Primary, p.Backup = s.Self, partner(p.Shard, s, primary)
+		p.Primary, p.Backup = s.Self, backupForSelf(p.Shard, s, primary)
 		return p, true
 	}
-	p.Primary, p.Backup, p.Lost = s.Self, partner(p.Shard, s, primary), true
+	p.Primary, p.Backup, p.Lost = s.Self, backupForSelf(p.Shard, s, primary), true
 	return p, s.MostReached && s.Gone(primary)
 }
 
 func nextAsPrimary(p Proposal, view View, s Situation, primary, backup ident.InstanceName) (Proposal, bool) {
 	p.Primary = s.Self
 	if view.Backup == "" || !s.Alive(view.Backup) {
-		p.Backup = partner(p.Shard, s, view.Backup)
+		p.Backup = backupForSelf(p.Shard, s, view.Backup)
 		return p, p.Backup != view.Backup
 	}
-	if !s.Settled && liveHas(s.Live, s.Self) {
+	if !s.Settled && containsMember(s.Live, s.Self) {
 		return p, false
 	}
 	if primary == s.Self {
@@ -144,29 +144,29 @@
 	}
 	if view.Backup == primary {
 		p.Primary, p.Backup = primary, s.Self
-		if !liveHas(s.Live, s.Self) {
-			p.Backup = partnerOf(p.Shard, s, primary)
+		if !containsMember(s.Live, s.Self) {
+			p.Backup = backupFor(p.Shard, s, primary)
 		}
 		return p, s.Synced
 	}
 	p.Backup = primary
-	return p, primary != "" && liveHas(s.Live, primary)
+	return p, primary != "" && containsMember(s.Live, primary)
 }
 
-// partner picks a reachable backup for self, in another zone where possible.
-func partner(shard Shard, s Situation, not ident.InstanceName) ident.InstanceName {
-	return pickPartner(shard, s, s.Self, not)
+// backupForSelf picks a reachable backup for self, in another zone where possible.
+func backupForSelf(shard Shard, s Situation, excluded ident.InstanceName) ident.InstanceName {
+	return pickBackup(shard, s, s.Self, excluded)
 }
 
-func partnerOf(shard Shard, s Situation, primary ident.InstanceName) ident.InstanceName {
-	return pickPartner(shard, s, primary, s.Self)
+func backupFor(shard Shard, s Situation, primary ident.InstanceName) ident.InstanceName {
+	return pickBackup(shard, s, primary, s.Self)
 }
 
-func pickPartner(shard Shard, s Situation, primary, not ident.InstanceName) ident.InstanceName {
+func pickBackup(shard Shard, s Situation, primary, excluded ident.InstanceName) ident.InstanceName {
 	zone := zoneOf(s.Live, primary)
 	var sameZone ident.InstanceName
 	for _, m := range Rank(shardKey(shard), s.Live) {
-		if m.Name == primary || m.Name == not || !s.Alive(m.Name) {
+		if m.Name == primary || m.Name == excluded || !s.Alive(m.Name) {
 			continue
 		}
 		if m.Zone != zone {
@@ -188,7 +188,7 @@
 	return ""
 }
 
-func liveHas(members []Member, name ident.InstanceName) bool {
+func containsMember(members []Member, name ident.InstanceName) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Name == name })
 }
 
--- a/kernel/views/views.go
+++ b/kernel/views/views.go
@@ -61,8 +61,8 @@
 	return name != "" && (v.Primary == name || v.Backup == name)
 }
 
-// Other returns the member that is not name, or "".
-func (v View) Other(name ident.InstanceName) ident.InstanceName {
+// Partner returns the member that is not name, or "".
+func (v View) Partner(name ident.InstanceName) ident.InstanceName {
 	if v.Primary == name {
 		return v.Backup
 	}
@@ -89,10 +89,10 @@
 	return &c
 }
 
-// Judge applies proposals that stand in the record at offset. A view that is
+// Apply applies proposals that stand in the record at offset. A view that is
 // not Lost must keep a member of the view before as its primary, since only
 // members can hold the state.
-func (s *State) Judge(proposals []Proposal, offset ident.Offset, at clock.Millis) {
+func (s *State) Apply(proposals []Proposal, offset ident.Offset, at clock.Millis) {
 	for _, p := range proposals {
 		if p.Shard < 0 || p.Shard >= Shards || p.Primary == "" || p.Primary == p.Backup {
 			continue
--- a/kernel/views/views_test.go
+++ b/kernel/views/views_test.go
@@ -102,13 +102,13 @@
 
 func TestJudge(t *testing.T) {
 	s := &State{}
-	s.Judge([]Proposal{{Shard: 1, Primary: "a", Backup: "b"}}, 1, 0)
-	s.Judge([]Proposal{{Shard: 1, Primary: "c"}}, 2, 0)
-	s.Judge([]Proposal{{Shard: 1, Base: 1, Primary: "c"}}, 3, 0)
+	s.Apply([]Proposal{{Shard: 1, Primary: "a", Backup: "b"}}, 1, 0)
+	s.Apply([]Proposal{{Shard: 1, Primary: "c"}}, 2, 0)
+	s.Apply([]Proposal{{Shard: 1, Base: 1, Primary: "c"}}, 3, 0)
 	if v := s.Views[1]; v.Epoch != 1 || v.Primary != "a" {
 		t.Fatalf("a proposal from an old base, or by one without the state, counted: %+v", v)
 	}
-	s.Judge([]Proposal{{Shard: 1, Base: 1, Primary: "b", Backup: "c"}}, 4, 0)
+	s.Apply([]Proposal{{Shard: 1, Base: 1, Primary: "b", Backup: "c"}}, 4, 0)
 	if v := s.Views[1]; v.Epoch != 4 || v.Base != 1 || v.Primary != "b" {
 		t.Fatalf("%+v", v)
 	}
