--- a/kernel/views/policy.go
+++ b/kernel/views/policy.go
@@ -8,13 +8,13 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Member is an entry instance as the policy sees it.
+// Member is an instance that can be primary or backup of a shard.
 type Member struct {
 	Name ident.InstanceName
 	Zone ident.Zone
 }
 
-// Rank orders the members for a key by rendezvous hashing, best first.
+// Rank returns the members in rendezvous-hashing order for a key, best first.
 func Rank(key string, members []Member) []Member {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b Member) int {
@@ -31,8 +31,7 @@
 	return ranked
 }
 
-// First returns the best member for a key, as Rank orders them, or false if
-// there are none.
+// First returns the member that Rank puts first, or false if there are none.
 func First(key string, members []Member) (Member, bool) {
 	var first Member
 	var best uint64
@@ -45,8 +44,8 @@
 	return first, len(members) > 0
 }
 
-// Pair returns the wanted primary and backup of a shard: the best two members
-// by rendezvous hashing, in two availability zones where there are two.
+// Pair returns the preferred primary and backup of a shard: the two best members by Rank,
+// in different availability zones if possible. Names are empty where members are missing.
 func Pair(shard Shard, members []Member) (primary, backup ident.InstanceName) {
 	ranked := Rank(shardKey(shard), members)
 	if len(ranked) == 0 {
@@ -64,28 +63,29 @@
 	return first.Name, ""
 }
 
-// Situation is what an instance knows when it considers a shard.
+// Situation is what an instance knows of the others when it decides on a proposal.
 type Situation struct {
 	Self ident.InstanceName
-	// Live are the instances that take part, leaving ones excluded, self
-	// included unless it is leaving.
+	// Live lists the participating instances without the leaving ones; self is included
+	// unless it is leaving.
 	Live []Member
-	// Alive tells whether an instance, live or leaving, can be reached now.
+	// Alive reports whether an instance, live or leaving, can be reached now.
 	Alive func(ident.InstanceName) bool
-	// Gone tells whether an instance has been silent for so long that its
-	// state counts as lost.
+	// Gone reports whether an instance has been unreachable for so long that its state
+	// counts as lost.
 	Gone func(ident.InstanceName) bool
-	// Synced tells whether self holds the whole state of the view.
+	// Synced is the result of once.Shard.Synced for the shard: the other member could be
+	// replaced without loss of state.
 	Synced bool
-	// Settled tells whether the set of live instances has not changed lately.
-	// Moves that no failure calls for wait for it.
+	// Settled is true if the set of live instances has not changed recently. Moves that
+	// only restore the preferred pair wait for this.
 	Settled bool
-	// MostReached tells whether self reaches more than half of the instances.
+	// MostReached is true if self reaches more than half of the instances.
 	MostReached bool
 }
 
-// Next returns the proposal that moves the shard one step towards its wanted
-// pair, if it is for self to make.
+// Next returns the proposal that moves the shard one step towards its preferred pair, or
+// false if self has nothing to propose.
 func Next(shard Shard, view View, s Situation) (Proposal, bool) {
 	primary, backup := Pair(shard, s.Live)
 	p := Proposal{Shard: shard, Base: view.Epoch}
@@ -103,7 +103,8 @@
 	return nextAsPrimary(p, view, s, primary, backup)
 }
 
-// nextAsOutsider starts a shard anew when both members are gone.
+// nextAsOutsider is Next for an instance outside the view: when all members are gone, the
+// preferred primary starts the shard without its state.
 func nextAsOutsider(p Proposal, view View, s Situation, primary, backup ident.InstanceName) (Proposal, bool) {
 	if primary != s.Self || !s.MostReached || !s.Gone(view.Primary) {
 		return p, false
@@ -115,8 +116,8 @@
 	return p, true
 }
 
-// nextAsBackup takes over from a primary that can't be reached. A backup that
-// has not got the state can only do so when the primary is gone for good.
+// nextAsBackup takes over from an unreachable primary. A backup without the state waits
+// until the primary counts as gone, and then proposes a view marked Lost.
 func nextAsBackup(p Proposal, s Situation, primary ident.InstanceName) (Proposal, bool) {
 	if s.Alive(primary) {
 		return p, false
@@ -129,6 +130,9 @@
 	return p, s.MostReached && s.Gone(primary)
 }
 
+// nextAsPrimary replaces an unreachable backup at once. Once membership is settled, or if
+// self is leaving, it moves towards the preferred pair: it makes the preferred primary its
+// backup first, and swaps roles when that backup has the state.
 func nextAsPrimary(p Proposal, view View, s Situation, primary, backup ident.InstanceName) (Proposal, bool) {
 	p.Primary = s.Self
 	if view.Backup == "" || !s.Alive(view.Backup) {
@@ -153,15 +157,19 @@
 	return p, primary != "" && containsMember(s.Live, primary)
 }
 
-// backupForSelf picks a reachable backup for self, in another zone where possible.
+// backupForSelf returns the best reachable backup for self, or "".
 func backupForSelf(shard Shard, s Situation, excluded ident.InstanceName) ident.InstanceName {
 	return pickBackup(shard, s, s.Self, excluded)
 }
 
+// backupFor returns the best reachable backup, other than self, for the given primary, or
+// "".
 func backupFor(shard Shard, s Situation, primary ident.InstanceName) ident.InstanceName {
 	return pickBackup(shard, s, primary, s.Self)
 }
 
+// pickBackup returns the best live and reachable member by Rank other than primary and
+// excluded, in another availability zone than primary's if possible.
 func pickBackup(shard Shard, s Situation, primary, excluded ident.InstanceName) ident.InstanceName {
 	zone := zoneOf(s.Live, primary)
 	var sameZone ident.InstanceName
--- a/kernel/views/views.go
+++ b/kernel/views/views.go
@@ -1,15 +1,15 @@
-// Package views says which instances look after each shard of ids: a primary
-// and a backup. The order of the platform's log decides between proposals, so
-// no instance coordinates the others.
+// Package views decides which two instances are the primary and the backup of each
+// shard of request ids. Instances append proposals to the platform's log. The order
+// of the log decides between conflicting proposals, so no coordinator is needed.
 //
-// A view changes in one step at a time:
+// A view changes one step at a time:
 //
 //	(P, B)  -> (P, B')       the primary replaces its backup
 //	(P, B)  -> (B, B')       a backup that holds the state takes over
 //	(P, B)  -> (X, Y) Lost   both are gone; X starts without the state
 //
-// A proposal names the epoch it starts from and counts only while that epoch
-// is in force, so of racing proposals the first in the log wins.
+// A proposal names the epoch it is based on and is valid only while that epoch is
+// current, so the first of several conflicting proposals in the log wins.
 package views
 
 import (
@@ -23,45 +23,45 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// Corrupt means that a record could not be read.
+// Corrupt means that a record could not be decoded.
 const Corrupt Kind = "Corrupt"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Shard is the index of a shard of ids.
+// Shard is the number of a shard of request ids, from 0 to Shards-1.
 type Shard int
 
-// Shards is how many shards there are. It is fixed: changing it needs all
-// instances stopped for longer than the repeat window.
+// Shards is the number of shards. To change it, all instances must be stopped for
+// longer than the repeat window.
 const Shards = 64
 
-// ShardOf returns the shard of an id.
+// ShardOf returns the shard of a request id or of another key.
 func ShardOf(id string) Shard {
 	return Shard(ident.Hash("shard", id) % Shards)
 }
 
-// View is who looks after a shard. Epoch is the offset of the record that
-// made it, and serves as the fencing number of what its primary orders.
+// View names the primary and the backup of a shard. Epoch is the offset of the log
+// record that created the view, and serves as fencing number for the primary's orders.
 type View struct {
 	Epoch ident.Offset
-	// Base is the epoch of the view before.
+	// Base is the epoch of the previous view.
 	Base    ident.Offset
 	Primary ident.InstanceName
-	// Backup is empty when one instance is alone.
+	// Backup is empty if the primary has no backup.
 	Backup ident.InstanceName
-	// Lost says that the state of the view before was lost.
+	// Lost means that the state of the previous view was lost.
 	Lost bool
-	// At is the log's time of the record.
+	// At is the log's timestamp of the record.
 	At clock.Millis
 }
 
-// Has tells whether the instance is a member of the view.
+// Has reports whether the instance is the primary or the backup.
 func (v View) Has(name ident.InstanceName) bool {
 	return name != "" && (v.Primary == name || v.Backup == name)
 }
 
-// Partner returns the member that is not name, or "".
+// Partner returns the backup for the primary's name, and the primary for any other name.
 func (v View) Partner(name ident.InstanceName) ident.InstanceName {
 	if v.Primary == name {
 		return v.Backup
@@ -69,7 +69,7 @@
 	return v.Primary
 }
 
-// Proposal asks for a new view of one shard.
+// Proposal asks for a new view of one shard. Base is the epoch of the view it replaces.
 type Proposal struct {
 	Shard   Shard
 	Base    ident.Offset
@@ -78,19 +78,19 @@
 	Lost    bool
 }
 
-// State is the views after a prefix of the log.
+// State is the view of each shard after a prefix of the log.
 type State struct {
 	Views [Shards]View
 }
 
-// Clone returns a copy.
+// Clone returns a copy that shares nothing with s.
 func (s *State) Clone() *State {
 	c := *s
 	return &c
 }
 
-// Apply applies proposals that stand in the record at offset. A view that is
-// not Lost must keep a member of the view before as its primary, since only
+// Apply applies the proposals of the log record at offset; invalid ones are ignored. In
+// a view that is not Lost, the primary must be a member of the previous view, because only
 // members can hold the state.
 func (s *State) Apply(proposals []Proposal, offset ident.Offset, at clock.Millis) {
 	for _, p := range proposals {
@@ -108,8 +108,8 @@
 	}
 }
 
-// MarkLost marks the shards without a view, after records before the first
-// kept one have expired, so that nobody takes them for new.
+// MarkLost gives each shard without a view an empty one that is marked Lost. It is for a
+// log whose first records have expired: such shards must not be treated as new.
 func (s *State) MarkLost(offset ident.Offset, at clock.Millis) {
 	for i := range s.Views {
 		if s.Views[i].Epoch == 0 {
@@ -135,7 +135,7 @@
 	At      int64
 }
 
-// EncodeProposals returns the JSON form of proposals.
+// EncodeProposals returns proposals as JSON.
 func EncodeProposals(proposals []Proposal) ([]byte, error) {
 	wires := make([]proposalWire, 0, len(proposals))
 	for _, p := range proposals {
@@ -146,11 +146,11 @@
 	return json.Marshal(wires)
 }
 
-// DecodeProposals reads the JSON form of proposals.
+// DecodeProposals decodes the JSON of EncodeProposals.
 func DecodeProposals(data []byte) ([]Proposal, error) {
 	var wires []proposalWire
 	if err := json.Unmarshal(data, &wires); err != nil {
-		return nil, fault.Wrap("views.DecodeProposals", Corrupt, err, "unreadable JSON")
+		return nil, fault.Wrap("views.DecodeProposals", Corrupt, err, "invalid JSON of view proposals")
 	}
 	proposals := make([]Proposal, 0, len(wires))
 	for _, w := range wires {
@@ -162,7 +162,7 @@
 	return proposals, nil
 }
 
-// EncodeState returns the JSON form of a state, for checkpoints.
+// EncodeState returns a state as JSON, for checkpoints.
 func EncodeState(s *State) ([]byte, error) {
 	wires := make([]viewWire, 0, Shards)
 	for _, v := range s.Views {
@@ -173,11 +173,11 @@
 	return json.Marshal(wires)
 }
 
-// DecodeState reads the JSON form of a state.
+// DecodeState decodes the JSON of EncodeState.
 func DecodeState(data []byte) (*State, error) {
 	var wires []viewWire
 	if err := json.Unmarshal(data, &wires); err != nil {
-		return nil, fault.Wrap("views.DecodeState", Corrupt, err, "unreadable JSON")
+		return nil, fault.Wrap("views.DecodeState", Corrupt, err, "invalid JSON of the views")
 	}
 	if len(wires) != Shards {
 		return nil, fault.New("views.DecodeState", Corrupt, "wrong number of shards")
--- a/kernel/views/views_test.go
+++ b/kernel/views/views_test.go
@@ -11,7 +11,7 @@
 func none(ident.InstanceName) bool { return false }
 func all(ident.InstanceName) bool  { return true }
 
-// situation is a calm one as self sees it.
+// situation returns one in which all instances are reachable and membership is settled.
 func situation(self ident.InstanceName) Situation {
 	return Situation{Self: self, Live: members, Alive: all, Gone: none, Synced: true, Settled: true, MostReached: true}
 }
@@ -32,7 +32,7 @@
 		}
 	}
 	if _, ok := First("x", nil); ok {
-		t.Error("a first one of none")
+		t.Error("First returned a member of an empty list")
 	}
 }
 
@@ -68,7 +68,7 @@
 		s := situation(backup)
 		s.Alive, s.Synced = dead(primary), false
 		if _, ok := Next(1, view, s); ok {
-			t.Fatal("state was given up early")
+			t.Fatal("the backup gave up the state before the primary was gone")
 		}
 		s.Gone = func(n ident.InstanceName) bool { return n == primary }
 		if got, ok := Next(1, view, s); !ok || !got.Lost {
@@ -106,7 +106,7 @@
 	s.Apply([]Proposal{{Shard: 1, Primary: "c"}}, 2, 0)
 	s.Apply([]Proposal{{Shard: 1, Base: 1, Primary: "c"}}, 3, 0)
 	if v := s.Views[1]; v.Epoch != 1 || v.Primary != "a" {
-		t.Fatalf("a proposal from an old base, or by one without the state, counted: %+v", v)
+		t.Fatalf("a proposal with an old base, or with a primary outside the view, was applied: %+v", v)
 	}
 	s.Apply([]Proposal{{Shard: 1, Base: 1, Primary: "b", Backup: "c"}}, 4, 0)
 	if v := s.Views[1]; v.Epoch != 4 || v.Base != 1 || v.Primary != "b" {
