--- a/croftmoor/admin/admin.go
+++ b/croftmoor/admin/admin.go
@@ -143,7 +143,7 @@
 	if !operatorOf(c).may(anyTeam) {
 		return refuse.New("admin", refuse.Denied, "restoring needs rights on all teams", "ask an operator with Teams [\"*\"]")
 	}
-	if !a.Reader.Bereft() {
+	if !a.Reader.StateMissing() {
 		return refuse.New("admin.restore", refuse.Invalid, "this instance holds the shared state, or has not read the log to its end",
 			"restore only when every instance says that it has no configuration")
 	}
@@ -153,7 +153,7 @@
 	if err != nil {
 		return refuse.After("admin.restore", refuse.NotRun, "the platform's log can't be read", clock.Second)
 	}
-	record, err := fold.CheckpointRecord(fold.NewBase(batch.Next-1, a.Clock.Now()))
+	record, err := fold.CheckpointRecord(fold.NewRecoveryState(batch.Next-1, a.Clock.Now()))
 	if err != nil {
 		return err
 	}
--- a/croftmoor/serve/serve.go
+++ b/croftmoor/serve/serve.go
@@ -227,7 +227,7 @@
 	directory.Connect(c.List.Address)
 	i.tail = log
 	i.logSeen.Store(-int64(clock.Minute))
-	i.reader = &fold.Reader{Changed: i.onState}
+	i.reader = &fold.Reader{OnChange: i.onState}
 	i.tailer = &tail.Tailer{Log: log, Stream: fold.Stream, Clock: i.clock, Apply: i.onBatch, Failed: i.onLogFailure}
 	i.fleet = &fleet.Table{Directory: directory, Clock: i.clock, Period: c.ListPeriod}
 	return nil
--- a/kernel/fold/fold.go
+++ b/kernel/fold/fold.go
@@ -60,15 +60,15 @@
 // Reader folds the stream. Current may be called from any goroutine; the
 // rest is guarded by mu.
 type Reader struct {
-	// Changed is called after the state has moved, outside the lock; it may be nil.
-	Changed func(*State)
-
-	mu         sync.Mutex
-	current    atomic.Pointer[State]
-	waiting    []tail.Record
-	atEnd      bool
-	caughtUp   atomic.Bool
-	checkpoint atomic.Int64
+	// OnChange is called after the state has moved, outside the lock; it may be nil.
+	OnChange func(*State)
+
+	mu             sync.Mutex
+	current        atomic.Pointer[State]
+	buffered       []tail.Record
+	readToEnd      bool
+	caughtUp       atomic.Bool
+	lastCheckpoint atomic.Int64
 }
 
 // Current returns the newest state, or nil before there is one.
@@ -83,20 +83,20 @@
 
 // LastCheckpoint returns the log's time of the newest checkpoint seen, or 0.
 func (r *Reader) LastCheckpoint() clock.Millis {
-	return clock.Millis(r.checkpoint.Load())
+	return clock.Millis(r.lastCheckpoint.Load())
 }
 
-// Bereft tells that the log was read to its end and holds neither all records
+// StateMissing tells that the log was read to its end and holds neither all records
 // nor a checkpoint, and that no peer has given a state.
-func (r *Reader) Bereft() bool {
+func (r *Reader) StateMissing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.current.Load() == nil && r.atEnd
+	return r.current.Load() == nil && r.readToEnd
 }
 
-// NewBase returns a state without configuration to start from after upTo, all
+// NewRecoveryState returns a state without configuration to start from after upTo, all
 // shards marked lost. It is for a log that has lost the state before.
-func NewBase(upTo ident.Offset, at clock.Millis) *State {
+func NewRecoveryState(upTo ident.Offset, at clock.Millis) *State {
 	state := newState()
 	state.UpTo = upTo
 	state.Views.MarkLost(max(upTo, 1), at)
@@ -111,25 +111,25 @@
 	if state == nil && batch.First <= 1 {
 		state = newState()
 	}
-	if state != nil && state.UpTo+1 >= batch.First && len(r.waiting) == 0 {
+	if state != nil && state.UpTo+1 >= batch.First && len(r.buffered) == 0 {
 		state = foldAll(state, batch.Records)
 	} else {
-		r.waiting = append(r.waiting, batch.Records...)
-		state = r.rebase(state, batch.First)
+		r.buffered = append(r.buffered, batch.Records...)
+		state = r.restoreFromCheckpoint(state, batch.First)
 	}
-	r.noteCheckpoints(batch.Records)
+	r.trackCheckpoints(batch.Records)
 	r.publish(state)
 	last := batch.First - 1
 	if n := len(batch.Records); n > 0 {
 		last = batch.Records[n-1].Offset
 	}
-	r.atEnd = last+1 >= batch.Next
-	if state != nil && len(r.waiting) == 0 && max(last, state.UpTo)+1 >= batch.Next {
+	r.readToEnd = last+1 >= batch.Next
+	if state != nil && len(r.buffered) == 0 && max(last, state.UpTo)+1 >= batch.Next {
 		r.caughtUp.Store(true)
 	}
 	r.mu.Unlock()
-	if state != before && r.Changed != nil {
-		r.Changed(state)
+	if state != before && r.OnChange != nil {
+		r.OnChange(state)
 	}
 }
 
@@ -139,14 +139,14 @@
 	current := r.current.Load()
 	newer := current == nil || state.UpTo > current.UpTo
 	if newer {
-		state = foldAll(state, r.waiting)
-		r.waiting = nil
+		state = foldAll(state, r.buffered)
+		r.buffered = nil
 		r.publish(state)
 		r.caughtUp.Store(true)
 	}
 	r.mu.Unlock()
-	if newer && r.Changed != nil {
-		r.Changed(state)
+	if newer && r.OnChange != nil {
+		r.OnChange(state)
 	}
 	return newer
 }
@@ -157,25 +157,25 @@
 	}
 }
 
-// rebase looks in the waiting records for a checkpoint after which nothing is
+// restoreFromCheckpoint looks in the waiting records for a checkpoint after which nothing is
 // missing. Until there is one, the state before stays in force.
-func (r *Reader) rebase(state *State, first ident.Offset) *State {
-	for _, record := range r.waiting {
+func (r *Reader) restoreFromCheckpoint(state *State, first ident.Offset) *State {
+	for _, record := range r.buffered {
 		base, ok := decodeCheckpoint(record)
 		if !ok || base.UpTo+1 < first || (state != nil && base.UpTo < state.UpTo) {
 			continue
 		}
-		state = foldAll(base, r.waiting)
-		r.waiting = nil
+		state = foldAll(base, r.buffered)
+		r.buffered = nil
 		return state
 	}
 	return state
 }
 
-func (r *Reader) noteCheckpoints(records []tail.Record) {
+func (r *Reader) trackCheckpoints(records []tail.Record) {
 	for _, record := range records {
-		if w, err := decode(record.Data); err == nil && w.Kind == checkpointRecord {
-			r.checkpoint.Store(int64(record.At))
+		if w, err := decodeRecord(record.Data); err == nil && w.Kind == checkpointRecord {
+			r.lastCheckpoint.Store(int64(record.At))
 		}
 	}
 }
@@ -199,7 +199,7 @@
 // for every reader.
 func foldOne(state *State, record tail.Record) {
 	state.UpTo = record.Offset
-	w, err := decode(record.Data)
+	w, err := decodeRecord(record.Data)
 	if err != nil {
 		return
 	}
@@ -210,7 +210,7 @@
 		}
 	case viewsRecord:
 		if proposals, err := views.DecodeProposals(w.Body); err == nil {
-			state.Views.Judge(proposals, record.Offset, record.At)
+			state.Views.Apply(proposals, record.Offset, record.At)
 		}
 	case checkpointRecord:
 	}
@@ -227,7 +227,7 @@
 	Views json.RawMessage
 }
 
-func decode(data []byte) (recordWire, error) {
+func decodeRecord(data []byte) (recordWire, error) {
 	var w recordWire
 	if err := json.Unmarshal(data, &w); err != nil {
 		return w, fault.Wrap("fold.decode", Corrupt, err, "unreadable record")
@@ -236,7 +236,7 @@
 }
 
 func decodeCheckpoint(record tail.Record) (*State, bool) {
-	w, err := decode(record.Data)
+	w, err := decodeRecord(record.Data)
 	if err != nil || w.Kind != checkpointRecord {
 		return nil, false
 	}
@@ -277,22 +277,22 @@
 // ChangeRecord returns the record that applies a change.
 func ChangeRecord(c conf.Change) ([]byte, error) {
 	body, err := conf.EncodeChange(c)
-	return wrap(changeRecord, body, err)
+	return encodeRecord(changeRecord, body, err)
 }
 
 // ViewsRecord returns the record that proposes views.
 func ViewsRecord(proposals []views.Proposal) ([]byte, error) {
 	body, err := views.EncodeProposals(proposals)
-	return wrap(viewsRecord, body, err)
+	return encodeRecord(viewsRecord, body, err)
 }
 
 // CheckpointRecord returns the record that carries a state.
 func CheckpointRecord(s *State) ([]byte, error) {
 	body, err := EncodeState(s)
-	return wrap(checkpointRecord, body, err)
+	return encodeRecord(checkpointRecord, body, err)
 }
 
-func wrap(kind recordKind, body []byte, err error) ([]byte, error) {
+func encodeRecord(kind recordKind, body []byte, err error) ([]byte, error) {
 	if err != nil {
 		return nil, err
 	}
