--- a/kernel/fold/bench_test.go
+++ b/kernel/fold/bench_test.go
@@ -10,7 +10,7 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// fileOf is a team's file with some services, trainers and limits.
+// fileOf returns the configuration file of a team with ten services and ten trainers.
 func fileOf(team string) []byte {
 	var services, trainers []string
 	for i := range 10 {
@@ -20,7 +20,7 @@
 	return []byte(fmt.Sprintf(`{"Team":"%s","Services":[%s],"Trainers":[%s]}`, team, strings.Join(services, ","), strings.Join(trainers, ",")))
 }
 
-// readerOf has folded the files of so many teams.
+// readerOf returns a reader that has applied the files of the given number of teams.
 func readerOf(b *testing.B, teams int) *Reader {
 	b.Helper()
 	r := &Reader{}
--- a/kernel/fold/fold.go
+++ b/kernel/fold/fold.go
@@ -1,10 +1,10 @@
-// Package fold turns the system's stream of the platform's log into the state
-// that every instance shares: the teams' configuration and the views of the
-// shards. The state is a pure function of the records up to an offset.
+// Package fold builds the state that all instances share from the system stream of
+// the platform's log: the teams' configuration and the views of the shards. The
+// state depends only on the records up to an offset.
 //
-// Records expire. A checkpoint record carries the whole state up to an offset;
-// a reader that starts late takes the first checkpoint after which no record
-// is missing, then the records behind it.
+// Records expire. A checkpoint record contains the whole state up to an offset. A
+// reader that starts late takes the first checkpoint after which no record is
+// missing, and then applies the records after it.
 package fold
 
 import (
@@ -23,16 +23,16 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// Corrupt means that a record could not be read.
+// Corrupt means that a record could not be decoded.
 const Corrupt Kind = "Corrupt"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Stream is the system's stream of the platform's log.
+// Stream is the name of the system stream in the platform's log.
 const Stream ident.Stream = "croftmoor"
 
-// recordKind tells what a record of the stream holds.
+// recordKind is the type of a record's body.
 type recordKind string
 
 const (
@@ -41,8 +41,8 @@
 	checkpointRecord recordKind = "Checkpoint"
 )
 
-// State is the shared state after the record at UpTo. It is not changed once
-// it has been handed out.
+// State is the shared state after the record at offset UpTo. It is immutable once it is
+// published.
 type State struct {
 	UpTo  ident.Offset
 	Conf  *conf.State
@@ -57,45 +57,48 @@
 	return &State{UpTo: s.UpTo, Conf: s.Conf.Clone(), Views: s.Views.Clone()}
 }
 
-// Reader folds the stream. Current may be called from any goroutine; the
-// rest is guarded by mu.
+// Reader builds the shared state from batches of records. All methods are safe for
+// concurrent use; mu guards the fields that are not atomic.
 type Reader struct {
-	// OnChange is called after the state has moved, outside the lock; it may be nil.
+	// OnChange is called after a new state is published, without the lock; it may be nil.
 	OnChange func(*State)
 
-	mu             sync.Mutex
-	current        atomic.Pointer[State]
-	buffered       []tail.Record
-	readToEnd      bool
-	caughtUp       atomic.Bool
+	mu      sync.Mutex
+	current atomic.Pointer[State]
+	// buffered are records that can't be applied yet because earlier ones are missing.
+	buffered []tail.Record
+	// readToEnd is true if the last batch reached the end of the log.
+	readToEnd bool
+	caughtUp  atomic.Bool
+	// lastCheckpoint is the log's timestamp of the newest checkpoint, in milliseconds.
 	lastCheckpoint atomic.Int64
 }
 
-// Current returns the newest state, or nil before there is one.
+// Current returns the newest state, or nil if there is none yet.
 func (r *Reader) Current() *State {
 	return r.current.Load()
 }
 
-// CaughtUp tells whether the reader once held all that the log held.
+// CaughtUp reports whether the state has ever reached the end of the log, or was adopted.
 func (r *Reader) CaughtUp() bool {
 	return r.caughtUp.Load()
 }
 
-// LastCheckpoint returns the log's time of the newest checkpoint seen, or 0.
+// LastCheckpoint returns the log's timestamp of the newest checkpoint seen, or 0.
 func (r *Reader) LastCheckpoint() clock.Millis {
 	return clock.Millis(r.lastCheckpoint.Load())
 }
 
-// StateMissing tells that the log was read to its end and holds neither all records
-// nor a checkpoint, and that no peer has given a state.
+// StateMissing reports whether the log was read to its end without yielding a state
+// (records are missing and there is no usable checkpoint), and no state was adopted.
 func (r *Reader) StateMissing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current.Load() == nil && r.readToEnd
 }
 
-// NewRecoveryState returns a state without configuration to start from after upTo, all
-// shards marked lost. It is for a log that has lost the state before.
+// NewRecoveryState returns a state at offset upTo without configuration, with all shards
+// marked lost. Use it if the log has lost the state.
 func NewRecoveryState(upTo ident.Offset, at clock.Millis) *State {
 	state := newState()
 	state.UpTo = upTo
@@ -103,7 +106,7 @@
 	return state
 }
 
-// Apply folds a batch in order.
+// Apply applies a batch of records, which must be in order of their offsets.
 func (r *Reader) Apply(batch tail.Batch) {
 	r.mu.Lock()
 	state := r.current.Load()
@@ -133,7 +136,8 @@
 	}
 }
 
-// Adopt takes a state that a peer or a checkpoint holds, if it is newer.
+// Adopt takes a state from a peer or a checkpoint if it is newer than the current one, and
+// reports whether it did.
 func (r *Reader) Adopt(state *State) bool {
 	r.mu.Lock()
 	current := r.current.Load()
@@ -157,8 +161,9 @@
 	}
 }
 
-// restoreFromCheckpoint looks in the waiting records for a checkpoint after which nothing is
-// missing. Until there is one, the state before stays in force.
+// restoreFromCheckpoint searches the buffered records for a checkpoint after which no
+// record is missing, and applies the records after it. If there is none, it returns the
+// given state. first is the offset of the oldest record in the log.
 func (r *Reader) restoreFromCheckpoint(state *State, first ident.Offset) *State {
 	for _, record := range r.buffered {
 		base, ok := decodeCheckpoint(record)
@@ -180,7 +185,7 @@
 	}
 }
 
-// foldAll returns the state after the records; the given state is not changed.
+// foldAll returns the state after the records, and leaves the given state unchanged.
 func foldAll(state *State, records []tail.Record) *State {
 	next := state
 	for _, record := range records {
@@ -195,8 +200,8 @@
 	return next
 }
 
-// foldOne applies one record. An unreadable record changes nothing, the same
-// for every reader.
+// foldOne applies one record to state. Every reader skips unreadable records, so that all
+// readers agree.
 func foldOne(state *State, record tail.Record) {
 	state.UpTo = record.Offset
 	w, err := decodeRecord(record.Data)
@@ -230,7 +235,7 @@
 func decodeRecord(data []byte) (recordWire, error) {
 	var w recordWire
 	if err := json.Unmarshal(data, &w); err != nil {
-		return w, fault.Wrap("fold.decode", Corrupt, err, "unreadable record")
+		return w, fault.Wrap("fold.decodeRecord", Corrupt, err, "invalid JSON of a record")
 	}
 	return w, nil
 }
@@ -244,49 +249,49 @@
 	return state, err == nil
 }
 
-// EncodeState returns the JSON form of a state.
+// EncodeState returns a state as JSON.
 func EncodeState(s *State) ([]byte, error) {
 	config, err := conf.EncodeState(s.Conf)
 	if err != nil {
-		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "configuration")
+		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "can't encode the configuration")
 	}
 	shards, err := views.EncodeState(s.Views)
 	if err != nil {
-		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "views")
+		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "can't encode the views")
 	}
 	return json.Marshal(stateWire{UpTo: int64(s.UpTo), Conf: config, Views: shards})
 }
 
-// DecodeState reads the JSON form of a state.
+// DecodeState decodes the JSON of EncodeState.
 func DecodeState(data []byte) (*State, error) {
 	var w stateWire
 	if err := json.Unmarshal(data, &w); err != nil {
-		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "unreadable JSON")
+		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "invalid JSON of a state")
 	}
 	config, err := conf.DecodeState(w.Conf)
 	if err != nil {
-		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "configuration")
+		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "can't decode the configuration")
 	}
 	shards, err := views.DecodeState(w.Views)
 	if err != nil {
-		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "views")
+		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "can't decode the views")
 	}
 	return &State{UpTo: ident.Offset(w.UpTo), Conf: config, Views: shards}, nil
 }
 
-// ChangeRecord returns the record that applies a change.
+// ChangeRecord returns the record of a configuration change.
 func ChangeRecord(c conf.Change) ([]byte, error) {
 	body, err := conf.EncodeChange(c)
 	return encodeRecord(changeRecord, body, err)
 }
 
-// ViewsRecord returns the record that proposes views.
+// ViewsRecord returns the record of view proposals.
 func ViewsRecord(proposals []views.Proposal) ([]byte, error) {
 	body, err := views.EncodeProposals(proposals)
 	return encodeRecord(viewsRecord, body, err)
 }
 
-// CheckpointRecord returns the record that carries a state.
+// CheckpointRecord returns the record of a checkpoint.
 func CheckpointRecord(s *State) ([]byte, error) {
 	body, err := EncodeState(s)
 	return encodeRecord(checkpointRecord, body, err)
--- a/kernel/fold/fold_test.go
+++ b/kernel/fold/fold_test.go
@@ -15,15 +15,16 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// CI draws the same histories every time; elsewhere each run draws others.
+// In CI, rapid uses a fixed seed; elsewhere every run draws new histories.
 func init() {
 	if os.Getenv("CI") != "" {
 		_ = flag.Set("rapid.seed", "20261202")
 	}
 }
 
-// logModel is a log whose old records expire and readers that start late, miss
-// stretches, or take a state from a peer. All must agree, and none may go back.
+// logModel is a log with expiring records, and readers that start late, miss records, or
+// adopt a state from a peer. Invariants: all readers agree at each offset, and the
+// revision of no reader decreases.
 type logModel struct {
 	records []tail.Record
 	first   ident.Offset
@@ -94,7 +95,7 @@
 	r.Apply(tail.Batch{First: m.first, Next: m.next(), Records: records})
 }
 
-// expire drops records, but only behind a checkpoint that covers them.
+// expire drops records, but only those that a checkpoint covers.
 func (m *logModel) expire(*rapid.T) {
 	for i := len(m.records) - 1; i >= 0; i-- {
 		base, ok := decodeCheckpoint(m.records[i])
