--- a/croftmoor/roster/roster.go
+++ b/croftmoor/roster/roster.go
@@ -136,7 +136,7 @@
 	if !r.again && now-r.first < settleTerm {
 		return false
 	}
-	if !elect.Chosen(r.Self, r.list(), r.last) {
+	if !elect.ShouldFollow(r.Self, r.list(), r.last) {
 		return false
 	}
 	r.follows = true
@@ -161,9 +161,9 @@
 	defer r.mu.Unlock()
 	share := clock.Millis(float64(len(r.members)) * float64(clock.Second) / max(float64(r.WritesPerSecond)*postShare, 1))
 	if self.Follows {
-		return self.Period()
+		return self.HeartbeatPeriod()
 	}
-	return max(self.Period(), share)
+	return max(self.HeartbeatPeriod(), share)
 }
 
 func (r *Roster) self() elect.Member {
@@ -197,7 +197,7 @@
 	defer r.mu.Unlock()
 	if gap := now - r.last; r.began && gap > awayTerm {
 		for name, m := range r.members {
-			m.Heard += gap
+			m.LastHeartbeat += gap
 			r.members[name] = m
 		}
 	}
@@ -224,9 +224,9 @@
 	fresh := make(map[ident.InstanceName]seen, len(posted))
 	for _, p := range posted {
 		m := seen{Member: p.Member, offset: p.Offset}
-		m.Heard = now
+		m.LastHeartbeat = now
 		if old, known := r.members[p.Name]; known && old.offset == p.Offset {
-			m.Heard = old.Heard
+			m.LastHeartbeat = old.LastHeartbeat
 		}
 		fresh[p.Name] = m
 		if p.Name != r.Self.Name && p.Name.ListName() == r.Self.Name.ListName() {
--- a/croftmoor/roster/roster_test.go
+++ b/croftmoor/roster/roster_test.go
@@ -69,14 +69,14 @@
 	t.Run("an instance that started again follows at once", func(t *testing.T) {
 		r, _ := rosterOf("front-3~9")
 		r.Heard(r.Clock.Mono())
-		r.Take(zone(elect.PerZone))
+		r.Take(zone(elect.FollowersPerZone))
 		if _, open := <-r.Elected(); open {
 			t.Error("it waits though the others are listed")
 		}
 	})
 	t.Run("an instance follows once, and says so", func(t *testing.T) {
 		r, board := rosterOf("front-x~1")
-		read(r, zone(elect.PerZone-1))
+		read(r, zone(elect.FollowersPerZone-1))
 		wantJudged(t, r, true)
 		wantJudged(t, r, false)
 		r.post(t.Context())
@@ -86,26 +86,26 @@
 	})
 	t.Run("where enough follow it does not", func(t *testing.T) {
 		r, _ := rosterOf("front-x~1")
-		read(r, zone(elect.PerZone))
+		read(r, zone(elect.FollowersPerZone))
 		wantJudged(t, r, false)
 	})
 	t.Run("silence of followers is noticed", func(t *testing.T) {
 		r, _ := rosterOf("front-x~1")
-		read(r, zone(elect.PerZone))
+		read(r, zone(elect.FollowersPerZone))
 		for name, m := range r.members {
-			m.Heard -= 4 * elect.FollowerPeriod
+			m.LastHeartbeat -= 4 * elect.FollowerHeartbeatPeriod
 			r.members[name] = m
 		}
 		wantJudged(t, r, true)
 	})
 	t.Run("time in which the roster could not be read ages nobody", func(t *testing.T) {
 		r, _ := rosterOf("front-x~1")
-		read(r, zone(elect.PerZone))
+		read(r, zone(elect.FollowersPerZone))
 		const outage = 20 * clock.Second
 		r.first -= outage
 		r.last -= outage
 		for name, m := range r.members {
-			m.Heard -= outage
+			m.LastHeartbeat -= outage
 			r.members[name] = m
 		}
 		r.Heard(r.Clock.Mono())
--- a/kernel/elect/elect.go
+++ b/kernel/elect/elect.go
@@ -15,55 +15,55 @@
 )
 
 const (
-	// PerZone is how many instances of a zone follow the ledger. The zones of the
+	// FollowersPerZone is how many instances of a zone follow the ledger. The zones of the
 	// users' large deployment have 17 engines of 6 slots: 20 texts at once for each of
 	// five followers, and the loss of most of them leaves some. After the loss of all
 	// power each reads the whole ledger, and the log serves their reads together:
 	// with eight a zone that took 2.3 s.
-	PerZone = 5
-	// FollowerPeriod is the pause between two signs of life of a follower on the roster.
+	FollowersPerZone = 5
+	// FollowerHeartbeatPeriod is the pause between two signs of life of a follower on the roster.
 	// With 30 followers and 265 others the roster gets 73 records a second.
-	FollowerPeriod = 1500 * clock.Millis(1)
-	// OtherPeriod is that of members that do not follow the ledger.
-	OtherPeriod = 5 * clock.Second
-	// missed is how many signs of life must be late before a member counts as gone.
-	missed = 3
+	FollowerHeartbeatPeriod = 1500 * clock.Millis(1)
+	// NonFollowerHeartbeatPeriod is that of members that do not follow the ledger.
+	NonFollowerHeartbeatPeriod = 5 * clock.Second
+	// missedHeartbeats is how many signs of life must be late before a member counts as gone.
+	missedHeartbeats = 3
 )
 
-// Power is the processor time that an instance may use, in thousandths of a core.
-type Power int
+// Millicores is the processor time that an instance may use, in thousandths of a core.
+type Millicores int
 
 // Member is an instance as the roster shows it.
 type Member struct {
 	Name    ident.InstanceName
 	Zone    ident.Zone
 	Address ident.Address
-	Power   Power
+	Power   Millicores
 	// Follows tells that the member follows the ledger.
 	Follows bool
 	Leaving bool
-	// Heard is when this reader heard its last sign of life.
-	Heard clock.Millis
+	// LastHeartbeat is when this reader heard its last sign of life.
+	LastHeartbeat clock.Millis
 }
 
-// Period returns the pause between two of the member's signs of life.
-func (m Member) Period() clock.Millis {
+// HeartbeatPeriod returns the pause between two of the member's signs of life.
+func (m Member) HeartbeatPeriod() clock.Millis {
 	if m.Follows {
-		return FollowerPeriod
+		return FollowerHeartbeatPeriod
 	}
-	return OtherPeriod
+	return NonFollowerHeartbeatPeriod
 }
 
 // Alive tells whether a member is to be reckoned with; now is when the roster was
 // last known to be current, so that an outage of the log ages nobody.
 func (m Member) Alive(now clock.Millis) bool {
-	return !m.Leaving && now-m.Heard <= missed*m.Period()
+	return !m.Leaving && now-m.LastHeartbeat <= missedHeartbeats*m.HeartbeatPeriod()
 }
 
-// before tells whether a member is chosen before another one: the more powerful
+// precedes tells whether a member is chosen precedes another one: the more powerful
 // first, since whoever follows does the work; then by hash, so that names that
 // resemble each other are spread.
-func (m Member) before(other Member) bool {
+func (m Member) precedes(other Member) bool {
 	if m.Power != other.Power {
 		return m.Power > other.Power
 	}
@@ -71,14 +71,14 @@
 	return mine > others
 }
 
-// Chosen tells whether an instance should follow the ledger: fewer than PerZone
+// ShouldFollow tells whether an instance should follow the ledger: fewer than PerZone
 // living members of its zone come before it.
-func Chosen(self Member, all []Member, now clock.Millis) bool {
-	better := 0
+func ShouldFollow(self Member, all []Member, now clock.Millis) bool {
+	preceding := 0
 	for _, m := range all {
-		if m.Zone == self.Zone && m.Name.ListName() != self.Name.ListName() && m.Alive(now) && m.before(self) {
-			better++
+		if m.Zone == self.Zone && m.Name.ListName() != self.Name.ListName() && m.Alive(now) && m.precedes(self) {
+			preceding++
 		}
 	}
-	return better < PerZone
+	return preceding < FollowersPerZone
 }
--- a/kernel/elect/elect_test.go
+++ b/kernel/elect/elect_test.go
@@ -16,11 +16,11 @@
 func zoneOf(n int) []Member {
 	members := make([]Member, 0, n)
 	for i := range n {
-		power := Power(192)
+		power := Millicores(192)
 		if i%5 == 0 {
 			power = 800
 		}
-		members = append(members, Member{Name: ident.InstanceName(fmt.Sprintf("front-%d~1", i)), Zone: "z", Power: power, Heard: now})
+		members = append(members, Member{Name: ident.InstanceName(fmt.Sprintf("front-%d~1", i)), Zone: "z", Power: power, LastHeartbeat: now})
 	}
 	return members
 }
@@ -28,7 +28,7 @@
 func chosen(members []Member) []int {
 	var indices []int
 	for i, m := range members {
-		if m.Alive(now) && Chosen(m, members, now) {
+		if m.Alive(now) && ShouldFollow(m, members, now) {
 			indices = append(indices, i)
 		}
 	}
@@ -48,7 +48,7 @@
 	})
 	t.Run("the followers of a zone are bounded", func(t *testing.T) {
 		for _, n := range []int{9, 49, 400} {
-			wantCount(t, chosen(zoneOf(n)), PerZone)
+			wantCount(t, chosen(zoneOf(n)), FollowersPerZone)
 		}
 	})
 	t.Run("the powerful are chosen first", func(t *testing.T) {
@@ -64,7 +64,7 @@
 			other[i].Zone = "y"
 			other[i].Name += "y"
 		}
-		wantCount(t, chosen(append(zoneOf(20), other...)), 2*PerZone)
+		wantCount(t, chosen(append(zoneOf(20), other...)), 2*FollowersPerZone)
 	})
 	t.Run("those that are gone or leave are replaced", func(t *testing.T) {
 		members := zoneOf(49)
@@ -72,10 +72,10 @@
 		for n, i := range first {
 			members[i].Follows = true
 			members[i].Leaving = n%2 == 0
-			members[i].Heard = now - missed*FollowerPeriod - 1
+			members[i].LastHeartbeat = now - missedHeartbeats*FollowerHeartbeatPeriod - 1
 		}
 		second := chosen(members)
-		wantCount(t, second, PerZone)
+		wantCount(t, second, FollowersPerZone)
 		for _, i := range second {
 			if slices.Contains(first, i) {
 				t.Errorf("member %d is gone and was chosen", i)
@@ -86,16 +86,16 @@
 		for lost := range 49 {
 			members := zoneOf(49)
 			for i := range lost {
-				members[i].Heard = 0
+				members[i].LastHeartbeat = 0
 			}
-			wantCount(t, chosen(members), min(PerZone, 49-lost))
+			wantCount(t, chosen(members), min(FollowersPerZone, 49-lost))
 		}
 	})
 	t.Run("a new life counts as the same member", func(t *testing.T) {
 		members := zoneOf(9)
 		again := members[chosen(members)[0]]
 		again.Name = again.Name[:len(again.Name)-1] + "2"
-		if !Chosen(again, members, now) {
+		if !ShouldFollow(again, members, now) {
 			t.Error("a follower that started again was not chosen")
 		}
 	})
