--- a/kernel/elect/elect_test.go
+++ b/kernel/elect/elect_test.go
@@ -9,10 +9,11 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// now is when the tests judge.
+// now is the current time in the tests.
 const now = 100 * clock.Second
 
-// zoneOf returns so many members of one zone, every fifth a powerful one, heard now.
+// zoneOf returns n members of one availability zone with a heartbeat at now. Every fifth
+// member has more processor time.
 func zoneOf(n int) []Member {
 	members := make([]Member, 0, n)
 	for i := range n {
@@ -38,7 +39,7 @@
 func wantCount(t *testing.T, got []int, want int) {
 	t.Helper()
 	if len(got) != want {
-		t.Errorf("%d follow, want %d: %v", len(got), want, got)
+		t.Errorf("%d members should follow, want %d: %v", len(got), want, got)
 	}
 }
 
@@ -54,7 +55,7 @@
 	t.Run("the powerful are chosen first", func(t *testing.T) {
 		for _, i := range chosen(zoneOf(49)) {
 			if i%5 != 0 {
-				t.Errorf("member %d follows, though powerful ones do not", i)
+				t.Errorf("member %d should follow, but members with more processor time should not", i)
 			}
 		}
 	})
@@ -78,7 +79,7 @@
 		wantCount(t, second, FollowersPerZone)
 		for _, i := range second {
 			if slices.Contains(first, i) {
-				t.Errorf("member %d is gone and was chosen", i)
+				t.Errorf("member %d is gone and was chosen again", i)
 			}
 		}
 	})
@@ -96,7 +97,7 @@
 		again := members[chosen(members)[0]]
 		again.Name = again.Name[:len(again.Name)-1] + "2"
 		if !ShouldFollow(again, members, now) {
-			t.Error("a follower that started again was not chosen")
+			t.Error("a restarted follower was not chosen")
 		}
 	})
 }
