--- a/kernel/deal/deal.go
+++ b/kernel/deal/deal.go
@@ -129,8 +129,8 @@
 	// slowdownPerItem and slowdownPerKiloToken are the relative increase in the time
 	// per event for each concurrent item, and for each 1,000 tokens that the
 	// concurrent items are expected to produce.
-	slowdownPerItem = 0.008
-	crowdToken      = 0.0014
+	slowdownPerItem      = 0.008
+	slowdownPerKiloToken = 0.0014
 	// paceTolerance is the relative deviation from the median time per event below
 	// which an engine is treated as a median one. Differences between texts alone
 	// cause such deviations.
@@ -220,7 +220,7 @@
 
 // Slowdown returns the factor, 1 or more, by which a concurrent load lengthens an event.
 func Slowdown(load jobs.Load) float64 {
-	return 1 + slowdownPerItem*float64(load.Items) + crowdToken*float64(load.Expect)/1000
+	return 1 + slowdownPerItem*float64(load.Items) + slowdownPerKiloToken*float64(load.Expect)/1000
 }
 
 // MedianPace returns the median time per event, in milliseconds, of the engines for which
--- a/kernel/loads/loads.go
+++ b/kernel/loads/loads.go
@@ -70,11 +70,11 @@
 func Plan(engines []Engine, models []Model, limit int) []Load {
 	p := &plan{engines: make([]Engine, 0, len(engines)), models: models}
 	for _, e := range engines {
-		has := make(map[ident.Model]ident.Version, len(e.Versions))
+		versions := make(map[ident.Model]ident.Version, len(e.Versions))
 		for model, version := range e.Versions {
-			has[model] = version
+			versions[model] = version
 		}
-		e.Versions = has
+		e.Versions = versions
 		p.engines = append(p.engines, e)
 	}
 	var chosen []Load
@@ -96,12 +96,12 @@
 	var best Load
 	index, bestGain := -1, 0.0
 	for _, m := range p.models {
-		supply := p.supplies(m)
+		totals := p.totalSpeeds(m)
 		for i, e := range p.engines {
 			if e.Unavailable || e.Versions[m.Name] >= m.Newest {
 				continue
 			}
-			if g := p.gain(e, m, supply); g > bestGain {
+			if g := p.gain(e, m, totals); g > bestGain {
 				index, bestGain = i, g
 				best = Load{Engine: e.Name, Model: m.Name, PreviousVersion: e.Versions[m.Name], Version: m.Newest}
 			}
@@ -110,32 +110,32 @@
 	return best, index, index >= 0
 }
 
-// supplies returns, for each step of a model, the sum of sharedSpeed over the engines
+// totalSpeeds returns, for each step of a model, the sum of sharedSpeed over the engines
 // that can run it.
-func (p *plan) supplies(m Model) []float64 {
-	supply := make([]float64, len(m.Steps))
+func (p *plan) totalSpeeds(m Model) []float64 {
+	totals := make([]float64, len(m.Steps))
 	for _, e := range p.engines {
 		for n, s := range m.Steps {
 			if e.Versions[m.Name] >= s.MinVersion {
-				supply[n] += p.sharedSpeed(e, m)
+				totals[n] += p.sharedSpeed(e, m)
 			}
 		}
 	}
-	return supply
+	return totals
 }
 
 // gain returns the value of a load in tokens: the share of the steps' work that the
 // engine newly serves, less the cost of not serving a waiting step while it loads. The
 // fewer engines a step has, the higher the gain. supply is the result of supplies.
-func (p *plan) gain(e Engine, m Model, supply []float64) float64 {
+func (p *plan) gain(e Engine, m Model, totals []float64) float64 {
 	gain := 0.0
-	worth := p.sharedSpeed(e, m)
+	speed := p.sharedSpeed(e, m)
 	for n, s := range m.Steps {
 		switch {
 		case e.Versions[m.Name] < s.MinVersion && m.Newest >= s.MinVersion:
-			gain += s.Work * worth / (supply[n] + worth) * (1 - speedWeight + speedWeight*worth)
+			gain += s.Work * speed / (totals[n] + speed) * (1 - speedWeight + speedWeight*speed)
 		case e.Versions[m.Name] >= s.MinVersion && s.Waiting:
-			gain -= loadingCost * s.Work * worth / supply[n]
+			gain -= loadingCost * s.Work * speed / totals[n]
 		}
 	}
 	return gain
--- a/kernel/loads/loads_test.go
+++ b/kernel/loads/loads_test.go
@@ -79,13 +79,13 @@
 // world simulates engines that complete a load in one round, and models whose newest
 // versions advance in any order.
 type world struct {
-	engines []Engine
-	models  []Model
-	atOnce  int
+	engines  []Engine
+	models   []Model
+	maxLoads int
 }
 
 func drawWorld(t *rapid.T) *world {
-	w := &world{atOnce: rapid.IntRange(1, 4).Draw(t, "at once")}
+	w := &world{maxLoads: rapid.IntRange(1, 4).Draw(t, "at once")}
 	names := []ident.Model{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "models")]
 	for n := range rapid.IntRange(2, 8).Draw(t, "engines") {
 		e := Engine{Name: ident.BackendName(fmt.Sprintf("e%d", n)), Versions: map[ident.Model]ident.Version{}}
@@ -101,9 +101,9 @@
 	return w
 }
 
-// name raises the newest version of a model, with a waiting step that needs the version
+// advanceVersion raises the newest version of a model, with a waiting step that needs the version
 // before it and an expected step that needs the new one.
-func (w *world) name(n int) {
+func (w *world) advanceVersion(n int) {
 	m := &w.models[n]
 	m.Newest++
 	m.Steps = []Step{{MinVersion: m.Newest - 1, Work: 100, Waiting: true}, {MinVersion: m.Newest, Work: 70}}
@@ -121,13 +121,13 @@
 
 // round plans loads, checks them, and completes them.
 func (w *world) round(t *rapid.T) {
-	without := 0
+	unservedBefore := 0
 	for _, m := range w.models {
 		if !w.served(m) {
-			without++
+			unservedBefore++
 		}
 	}
-	chosen := Plan(w.engines, w.models, w.atOnce)
+	chosen := Plan(w.engines, w.models, w.maxLoads)
 	loaded := map[ident.BackendName]bool{}
 	for _, l := range chosen {
 		if loaded[l.Engine] {
@@ -143,14 +143,14 @@
 			}
 		}
 	}
-	still := 0
+	unservedAfter := 0
 	for _, m := range w.models {
 		if !w.served(m) {
-			still++
+			unservedAfter++
 		}
 	}
-	if got, able := without-still, min(without, len(chosen)); got < able {
-		t.Fatalf("%d steps had no engine; %d loads served only %d of them", without, len(chosen), got)
+	if got, want := unservedBefore-unservedAfter, min(unservedBefore, len(chosen)); got < want {
+		t.Fatalf("%d steps had no engine; %d loads served only %d of them", unservedBefore, len(chosen), got)
 	}
 }
 
@@ -162,7 +162,7 @@
 		w := drawWorld(t)
 		for range rapid.IntRange(1, 30).Draw(t, "rounds") {
 			if rapid.Bool().Draw(t, "named") {
-				w.name(rapid.IntRange(0, len(w.models)-1).Draw(t, "model"))
+				w.advanceVersion(rapid.IntRange(0, len(w.models)-1).Draw(t, "model"))
 			}
 			w.round(t)
 		}
--- a/kernel/once/once_test.go
+++ b/kernel/once/once_test.go
@@ -24,14 +24,14 @@
 // shardModel runs one shard at three instances, with lost and delayed messages and views
 // that instances learn late. Invariant: no id is granted twice.
 type shardModel struct {
-	names   []ident.InstanceName
-	shards  map[ident.InstanceName]*Shard
-	log     views.State
-	offset  ident.Offset
-	records []pendingRecord
-	runs    map[ident.RequestID]int
-	flights int64
-	now     clock.Millis
+	names    []ident.InstanceName
+	shards   map[ident.InstanceName]*Shard
+	log      views.State
+	offset   ident.Offset
+	records  []pendingRecord
+	runs     map[ident.RequestID]int
+	attempts int64
+	now      clock.Millis
 }
 
 // pendingRecord is a claim whose Op is in flight to the backup.
@@ -54,12 +54,12 @@
 	return m
 }
 
-func (m *shardModel) any(t *rapid.T) ident.InstanceName {
+func (m *shardModel) drawInstance(t *rapid.T) ident.InstanceName {
 	return rapid.SampledFrom(m.names).Draw(t, "instance")
 }
 
-// some draws an instance for which the condition holds, or returns nil.
-func (m *shardModel) some(t *rapid.T, condition func(*Shard) bool) *Shard {
+// drawShard draws an instance for which the condition holds, or returns nil.
+func (m *shardModel) drawShard(t *rapid.T, condition func(*Shard) bool) *Shard {
 	var fit []*Shard
 	for _, name := range m.names {
 		if condition(m.shards[name]) {
@@ -77,12 +77,12 @@
 // propose draws a view that the policy allows: based on the proposer's own view, and only
 // from an instance that holds the state.
 func (m *shardModel) propose(t *rapid.T) {
-	s := m.some(t, func(s *Shard) bool { return s.View().Epoch == 0 || s.HasState() })
+	s := m.drawShard(t, func(s *Shard) bool { return s.View().Epoch == 0 || s.HasState() })
 	if s == nil {
 		return
 	}
 	self, view := s.Self, s.View()
-	p := views.Proposal{Base: view.Epoch, Primary: self, Backup: m.any(t)}
+	p := views.Proposal{Base: view.Epoch, Primary: self, Backup: m.drawInstance(t)}
 	swap := view.Primary == self && s.Synced() && view.Backup != "" && rapid.Bool().Draw(t, "swap")
 	switch {
 	case view.Epoch == 0:
@@ -101,11 +101,11 @@
 
 // learn applies the newest view at one instance.
 func (m *shardModel) learn(t *rapid.T) {
-	m.shards[m.any(t)].ApplyView(m.log.Views[0], m.now)
+	m.shards[m.drawInstance(t)].ApplyView(m.log.Views[0], m.now)
 }
 
 func (m *shardModel) install(t *rapid.T) {
-	primary := m.some(t, (*Shard).NeedsInstall)
+	primary := m.drawShard(t, (*Shard).NeedsInstall)
 	if primary == nil {
 		return
 	}
@@ -118,12 +118,12 @@
 
 func (m *shardModel) claim(t *rapid.T) {
 	id := ident.RequestID(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "id"))
-	primary := m.some(t, leads)
+	primary := m.drawShard(t, leads)
 	if primary == nil {
 		return
 	}
-	m.flights++
-	request := Request{ID: id, Runner: "runner", Attempt: m.flights}
+	m.attempts++
+	request := Request{ID: id, Runner: "runner", Attempt: m.attempts}
 	entry, op, err := primary.Claim(request, m.now, func(bool) string { return "" })
 	if err != nil || entry.Status != Pending {
 		return
@@ -165,7 +165,7 @@
 }
 
 func (m *shardModel) settle(t *rapid.T) {
-	primary := m.some(t, leads)
+	primary := m.drawShard(t, leads)
 	if primary == nil {
 		return
 	}
