--- a/croftmoor/calls/calls.go
+++ b/croftmoor/calls/calls.go
@@ -45,7 +45,7 @@
 
 // Claimer grants the right to run what may not be repeated.
 type Claimer interface {
-	NewFlight() int64
+	NewAttempt() int64
 	Claim(ctx context.Context, request once.Request) (once.Entry, error)
 	Settle(ctx context.Context, settlement once.Settlement)
 	RunnerAlive(runner ident.InstanceName) bool
--- a/croftmoor/calls/calls_test.go
+++ b/croftmoor/calls/calls_test.go
@@ -33,7 +33,7 @@
 	settled []once.Outcome
 }
 
-func (*claimer) NewFlight() int64                    { return 1 }
+func (*claimer) NewAttempt() int64                   { return 1 }
 func (*claimer) RunnerAlive(ident.InstanceName) bool { return false }
 func (c *claimer) Claim(_ context.Context, r once.Request) (once.Entry, error) {
 	if c.refuses {
--- a/croftmoor/calls/once.go
+++ b/croftmoor/calls/once.go
@@ -20,7 +20,7 @@
 // doOnce runs a call that may not be repeated: only under a grant, and on a
 // second server only if the first certainly did not run it.
 func (c *Caller) doOnce(ctx context.Context, r Request) (Answer, error) {
-	claim := once.Request{ID: r.ID, Runner: c.Self, Attempt: c.Claimer.NewFlight(), Issued: r.Issued}
+	claim := once.Request{ID: r.ID, Runner: c.Self, Attempt: c.Claimer.NewAttempt(), Issued: r.Issued}
 	for {
 		entry, err := c.Claimer.Claim(ctx, claim)
 		if err != nil {
--- a/croftmoor/home/home.go
+++ b/croftmoor/home/home.go
@@ -49,34 +49,34 @@
 	// LogSeen tells when the log was last read, on the monotonic clock.
 	LogSeen func() clock.Millis
 
-	shards  [views.Shards]cell
-	flights atomic.Int64
+	shards   [views.Shards]lockedShard
+	attempts atomic.Int64
 }
 
-// cell is one shard with its lock.
-type cell struct {
+// lockedShard is one shard with its lock.
+type lockedShard struct {
 	mu    sync.Mutex
 	shard once.Shard
-	// The times below are on the monotonic clock. yields is when the primary
+	// The times below are on the monotonic clock. previousConfirmed is when the primary
 	// before may last have had its lease confirmed, leased when the backup last
 	// confirmed this instance's own, acked when this instance last confirmed
 	// its primary's or got its state.
-	yields clock.Millis
-	leased clock.Millis
-	acked  clock.Millis
+	previousConfirmed clock.Millis
+	leaseConfirmed    clock.Millis
+	ackedPrimary      clock.Millis
 }
 
 const (
 	recordTimeout  = 500 * clock.Millis(1)
 	installTimeout = 5 * clock.Second
 	claimTimeout   = 800 * clock.Millis(1)
-	claimPatience  = 3 * clock.Second
-	claimPause     = 25 * clock.Millis(1)
+	retryTimeout   = 3 * clock.Second
+	retryPause     = 25 * clock.Millis(1)
 	settleTimeout  = 1 * clock.Second
-	// logSilence is how long a primary that is alone, or cut off from most
+	// maxLogSilence is how long a primary that is alone, or cut off from most
 	// instances, grants without hearing from the log. It is well below
 	// peers.LostAfter, after which others may start the shard anew.
-	logSilence = 5 * clock.Second
+	maxLogSilence = 5 * clock.Second
 )
 
 // Setup prepares the shards; call it before the reader's first state.
@@ -97,50 +97,50 @@
 		hadState := c.shard.HasState()
 		c.shard.ApplyView(state.Views.Views[i], now)
 		if before.Primary != h.Self && c.shard.View().Primary == h.Self {
-			c.yields = h.lastLease(c, before, hadState)
+			c.previousConfirmed = h.lastConfirmation(c, before, hadState)
 		}
 		c.mu.Unlock()
 	}
 }
 
-// lastLease returns when the primary before may last have had its lease
+// lastConfirmation returns when the primary before may last have had its lease
 // confirmed: by this instance, if it was the backup and had the state, since
 // the primary then asked nobody else; else up to now.
-func (h *Home) lastLease(c *cell, before views.View, hadState bool) clock.Millis {
+func (h *Home) lastConfirmation(c *lockedShard, before views.View, hadState bool) clock.Millis {
 	if before.Backup == h.Self && hadState {
-		return c.acked
+		return c.ackedPrimary
 	}
 	return h.Clock.Mono()
 }
 
-// NewFlight numbers a try of this instance's.
-func (h *Home) NewFlight() int64 {
-	return h.flights.Add(1)
+// NewAttempt numbers a try of this instance's.
+func (h *Home) NewAttempt() int64 {
+	return h.attempts.Add(1)
 }
 
 // Claim asks for the right to run an id. The entry's Status is Granted with
 // this instance and flight if it may run; any other entry was there before.
 // An error means that nothing was granted that could still be used.
 func (h *Home) Claim(ctx context.Context, request once.Request) (once.Entry, error) {
-	patience, cancel := context.WithTimeout(ctx, claimPatience.Duration())
+	retryCtx, cancel := context.WithTimeout(ctx, retryTimeout.Duration())
 	defer cancel()
 	for {
-		entry, err := h.claimOnce(patience, request)
+		entry, err := h.tryClaim(retryCtx, request)
 		if err == nil {
 			return entry, nil
 		}
 		// Without the log no view can change, so that waiting would not help.
-		if h.logSilent() || !h.Clock.Sleep(patience, claimPause) {
+		if h.logSilent() || !h.Clock.Sleep(retryCtx, retryPause) {
 			return once.Entry{}, err
 		}
 	}
 }
 
 func (h *Home) logSilent() bool {
-	return h.Clock.Mono()-h.LogSeen() > logSilence
+	return h.Clock.Mono()-h.LogSeen() > maxLogSilence
 }
 
-func (h *Home) claimOnce(ctx context.Context, request once.Request) (once.Entry, error) {
+func (h *Home) tryClaim(ctx context.Context, request once.Request) (once.Entry, error) {
 	view := h.view(views.ShardOf(string(request.ID)))
 	switch view.Primary {
 	case "":
@@ -218,7 +218,7 @@
 	c := &h.shards[record.Shard]
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.acked = h.Clock.Mono()
+	c.ackedPrimary = h.Clock.Mono()
 	return c.shard.Record(record.Op, record.From)
 }
 
@@ -230,18 +230,18 @@
 	c := &h.shards[install.Snapshot.Shard]
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.acked = h.Clock.Mono()
+	c.ackedPrimary = h.Clock.Mono()
 	return c.shard.Install(install.Snapshot, install.From)
 }
 
 // Settle tells the shard's primary how a grant ended. It is tried a few times;
 // if all fail, the id stays granted, which is safe.
 func (h *Home) Settle(ctx context.Context, settlement once.Settlement) {
-	ctx, cancel := context.WithTimeout(ctx, claimPatience.Duration())
+	ctx, cancel := context.WithTimeout(ctx, retryTimeout.Duration())
 	defer cancel()
 	for {
 		view := h.view(views.ShardOf(string(settlement.ID)))
-		if h.settleAt(ctx, view.Primary, settlement) == nil || !h.Clock.Sleep(ctx, claimPause) {
+		if h.settleAt(ctx, view.Primary, settlement) == nil || !h.Clock.Sleep(ctx, retryPause) {
 			return
 		}
 	}
--- a/croftmoor/home/lease.go
+++ b/croftmoor/home/lease.go
@@ -25,10 +25,10 @@
 const (
 	// LeaseTerm is how long a confirmation counts.
 	LeaseTerm = 4 * clock.Second
-	// LongestAct bounds one act under a lease.
-	LongestAct  = 1500 * clock.Millis(1)
-	renewBefore = 1 * clock.Second
-	leaseID     = "lease/"
+	// MaxActionTime bounds one act under a lease.
+	MaxActionTime = 1500 * clock.Millis(1)
+	renewAfter    = 1 * clock.Second
+	leaseID       = "lease/"
 )
 
 // Lease tells whether this instance holds the role now, for at least
@@ -39,14 +39,14 @@
 	c := &h.shards[number]
 	c.mu.Lock()
 	view := c.shard.View()
-	able := view.Primary == h.Self && c.shard.HasState() && !c.shard.NeedsInstall()
-	yields, leased := c.yields, c.leased
+	canAct := view.Primary == h.Self && c.shard.HasState() && !c.shard.NeedsInstall()
+	yields, leased := c.previousConfirmed, c.leaseConfirmed
 	c.mu.Unlock()
 	now := h.Clock.Mono()
-	if !able || now < yields+LeaseTerm {
+	if !canAct || now < yields+LeaseTerm {
 		return 0, false
 	}
-	if now-leased >= renewBefore {
+	if now-leased >= renewAfter {
 		h.renew(ctx, number, view)
 	}
 	return h.Holds(role)
@@ -59,8 +59,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	view := c.shard.View()
-	fresh := h.Clock.Mono()+LongestAct < c.leased+LeaseTerm
-	return ident.Fence(view.Epoch), view.Primary == h.Self && c.leased > 0 && fresh
+	fresh := h.Clock.Mono()+MaxActionTime < c.leaseConfirmed+LeaseTerm
+	return ident.Fence(view.Epoch), view.Primary == h.Self && c.leaseConfirmed > 0 && fresh
 }
 
 // Leader returns the instance that leads the role's shard.
@@ -71,7 +71,7 @@
 // renew confirms with the backup. The lease counts from before the question
 // was sent. An instance that is alone needs word from the log instead.
 func (h *Home) renew(ctx context.Context, number views.Shard, view views.View) {
-	asked := h.Clock.Mono()
+	sentAt := h.Clock.Mono()
 	if view.Backup == "" {
 		if h.guard()(true) != "" {
 			return
@@ -87,6 +87,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.shard.View().Epoch == view.Epoch {
-		c.leased = max(c.leased, asked)
+		c.leaseConfirmed = max(c.leaseConfirmed, sentAt)
 	}
 }
--- a/croftmoor/home/mover.go
+++ b/croftmoor/home/mover.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	movePeriod    = 150 * clock.Millis(1)
-	appendTimeout = 2 * clock.Second
-	expireEvery   = 20
+	roundPeriod     = 150 * clock.Millis(1)
+	appendTimeout   = 2 * clock.Second
+	roundsPerExpiry = 20
 )
 
 // Run moves shards and passes states to backups until ctx ends.
 func (h *Home) Run(ctx context.Context) {
 	round := 0
-	h.Clock.Every(ctx, movePeriod, func() {
+	h.Clock.Every(ctx, roundPeriod, func() {
 		h.installAll(ctx)
 		h.propose(ctx)
 		round++
-		if round%expireEvery == 0 {
+		if round%roundsPerExpiry == 0 {
 			h.expire()
 		}
 	})
@@ -50,7 +50,7 @@
 	// that took effect is recognised by its epoch.
 	offset, err := h.Log.Append(ctx, fold.Stream, record)
 	for err == nil && h.Reader.Current().UpTo < offset {
-		if !h.Clock.Sleep(ctx, claimPause) {
+		if !h.Clock.Sleep(ctx, retryPause) {
 			return
 		}
 	}
