--- a/croftmoor/home/home.go
+++ b/croftmoor/home/home.go
@@ -1,7 +1,7 @@
-// Package home keeps this instance's part of the at-most-once shards: it
-// answers claims as a primary, records as a backup, and moves shards between
-// instances through the platform's log. The rules stand in kernel/once and
-// kernel/views; this package adds the I/O.
+// Package home runs this instance's part of the at-most-once shards. It answers claims
+// as a primary, records them as a backup, proposes new views in the platform's log, and
+// grants leases on roles. The rules are in kernel/once and kernel/views; this package
+// adds the I/O and the locks.
 package home
 
 import (
@@ -19,7 +19,7 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// Caller is the calls to other instances that this package needs.
+// Caller sends requests to other instances.
 type Caller interface {
 	Claim(ctx context.Context, to ident.InstanceName, request once.Request) (once.Entry, error)
 	Record(ctx context.Context, to ident.InstanceName, record peers.Record) error
@@ -27,7 +27,7 @@
 	Settle(ctx context.Context, to ident.InstanceName, settlement once.Settlement) error
 }
 
-// Health is what this package asks about other instances.
+// Health reports which other instances can be reached; see views.Situation.
 type Health interface {
 	Alive(ident.InstanceName) bool
 	Gone(ident.InstanceName) bool
@@ -36,8 +36,8 @@
 	Live() []views.Member
 }
 
-// Home holds the shards. Set the exported fields before Run. Each shard is
-// under its own lock.
+// Home holds all shards, each with its own lock. Set the exported fields and call Setup
+// before Run.
 type Home struct {
 	Self         ident.InstanceName
 	Reader       *fold.Reader
@@ -46,24 +46,27 @@
 	Health       Health
 	Clock        *clock.Clock
 	RepeatWindow clock.Millis
-	// LogSeen tells when the log was last read, on the monotonic clock.
+	// LogSeen returns when the log was last read, on the monotonic clock.
 	LogSeen func() clock.Millis
 
 	shards   [views.Shards]lockedShard
 	attempts atomic.Int64
 }
 
-// lockedShard is one shard with its lock.
+// lockedShard is one shard with its lock and the times of its lease, which are on the
+// monotonic clock.
 type lockedShard struct {
 	mu    sync.Mutex
 	shard once.Shard
-	// The times below are on the monotonic clock. previousConfirmed is when the primary
-	// before may last have had its lease confirmed, leased when the backup last
-	// confirmed this instance's own, acked when this instance last confirmed
-	// its primary's or got its state.
+	// previousConfirmed is the latest time at which the previous primary may have had
+	// its lease confirmed.
 	previousConfirmed clock.Millis
-	leaseConfirmed    clock.Millis
-	ackedPrimary      clock.Millis
+	// leaseConfirmed is when this primary sent the last confirmation request that its
+	// backup acknowledged; 0 means never.
+	leaseConfirmed clock.Millis
+	// ackedPrimary is when this instance, as a backup, last handled a record or a
+	// snapshot.
+	ackedPrimary clock.Millis
 }
 
 const (
@@ -73,13 +76,13 @@
 	retryTimeout   = 3 * clock.Second
 	retryPause     = 25 * clock.Millis(1)
 	settleTimeout  = 1 * clock.Second
-	// maxLogSilence is how long a primary that is alone, or cut off from most
-	// instances, grants without hearing from the log. It is well below
-	// peers.LostAfter, after which others may start the shard anew.
+	// maxLogSilence is how long a primary without a backup, or without contact to most
+	// instances, keeps granting while it can't read the log. It must stay well below
+	// peers.LostAfter, after which others may start the shard without its state.
 	maxLogSilence = 5 * clock.Second
 )
 
-// Setup prepares the shards; call it before the reader's first state.
+// Setup initialises the shards. Call it before the reader publishes its first state.
 func (h *Home) Setup() {
 	for i := range h.shards {
 		h.shards[i].shard.Self = h.Self
@@ -87,7 +90,7 @@
 	}
 }
 
-// OnState moves the shards to the views of a newer state.
+// OnState applies the views of a newer state to the shards.
 func (h *Home) OnState(state *fold.State) {
 	now := h.Clock.Now()
 	for i := range h.shards {
@@ -103,9 +106,9 @@
 	}
 }
 
-// lastConfirmation returns when the primary before may last have had its lease
-// confirmed: by this instance, if it was the backup and had the state, since
-// the primary then asked nobody else; else up to now.
+// lastConfirmation returns the latest time at which the previous primary may have had its
+// lease confirmed. A backup with the state knows it, because only the backup confirms; any
+// other new primary must assume now.
 func (h *Home) lastConfirmation(c *lockedShard, before views.View, hadState bool) clock.Millis {
 	if before.Backup == h.Self && hadState {
 		return c.ackedPrimary
@@ -113,14 +116,14 @@
 	return h.Clock.Mono()
 }
 
-// NewAttempt numbers a try of this instance's.
+// NewAttempt returns a number for an attempt that is unique at this instance.
 func (h *Home) NewAttempt() int64 {
 	return h.attempts.Add(1)
 }
 
-// Claim asks for the right to run an id. The entry's Status is Granted with
-// this instance and flight if it may run; any other entry was there before.
-// An error means that nothing was granted that could still be used.
+// Claim asks the shard's primary for the right to run an id, with retries. The caller may
+// run it if the entry is Granted with this instance and the request's attempt; any other
+// entry existed before. After an error, no usable grant exists.
 func (h *Home) Claim(ctx context.Context, request once.Request) (once.Entry, error) {
 	retryCtx, cancel := context.WithTimeout(ctx, retryTimeout.Duration())
 	defer cancel()
@@ -129,7 +132,7 @@
 		if err == nil {
 			return entry, nil
 		}
-		// Without the log no view can change, so that waiting would not help.
+		// Without the log no view can change, so a retry would not help.
 		if h.logSilent() || !h.Clock.Sleep(retryCtx, retryPause) {
 			return once.Entry{}, err
 		}
@@ -144,7 +147,7 @@
 	view := h.view(views.ShardOf(string(request.ID)))
 	switch view.Primary {
 	case "":
-		return once.Entry{}, fault.New("home.Claim", once.NotReady, "nobody leads the id's shard yet")
+		return once.Entry{}, fault.New("home.Claim", once.NotReady, "the id's shard has no primary yet")
 	case h.Self:
 		return h.ClaimHere(ctx, request)
 	}
@@ -193,24 +196,25 @@
 	return h.Caller.Record(ctx, backup, record)
 }
 
-// guard keeps a primary from granting where others may have started its
-// shard anew without its knowing.
+// guard returns the once.Guard of this instance. It refuses when the log has been silent
+// for too long and others may have started the shard anew without this primary's
+// knowledge.
 func (h *Home) guard() once.Guard {
 	return func(alone bool) string {
 		if !h.logSilent() {
 			return ""
 		}
 		if alone {
-			return "alone and out of touch with the platform's log"
+			return "no backup, and no contact with the platform's log"
 		}
 		if !h.Health.MostReached() {
-			return "cut off from the platform's log and from most instances"
+			return "no contact with the platform's log and most instances"
 		}
 		return ""
 	}
 }
 
-// RecordHere answers a primary as its backup.
+// RecordHere applies a primary's Op as its backup.
 func (h *Home) RecordHere(record peers.Record) error {
 	if record.Shard < 0 || record.Shard >= views.Shards {
 		return fault.New("home.RecordHere", once.OldEpoch, "no such shard")
@@ -222,7 +226,7 @@
 	return c.shard.Record(record.Op, record.From)
 }
 
-// InstallHere takes a shard's whole state as its backup.
+// InstallHere installs a shard's state as its backup.
 func (h *Home) InstallHere(install peers.Install) error {
 	if install.Snapshot.Shard < 0 || install.Snapshot.Shard >= views.Shards {
 		return fault.New("home.InstallHere", once.OldEpoch, "no such shard")
@@ -234,8 +238,8 @@
 	return c.shard.Install(install.Snapshot, install.From)
 }
 
-// Settle tells the shard's primary how a grant ended. It is tried a few times;
-// if all fail, the id stays granted, which is safe.
+// Settle reports the end of a grant to the shard's primary, with retries. If all fail, the
+// id stays granted, which is safe: it can't be run again.
 func (h *Home) Settle(ctx context.Context, settlement once.Settlement) {
 	ctx, cancel := context.WithTimeout(ctx, retryTimeout.Duration())
 	defer cancel()
@@ -265,21 +269,21 @@
 	op, changed := c.shard.Settle(settlement)
 	c.mu.Unlock()
 	if view.Primary != h.Self {
-		return fault.New("home.SettleHere", once.NotPrimary, "led by "+string(view.Primary))
+		return fault.New("home.SettleHere", once.NotPrimary, "the shard's primary is "+string(view.Primary))
 	}
 	if changed && view.Backup != "" {
-		// The backup may miss this; it then tells less than it could, which is safe.
+		// If the backup misses this, it keeps the entry as Granted, which is safe.
 		_ = h.record(ctx, view.Backup, peers.Record{Shard: number, From: h.Self, Op: op})
 	}
 	return nil
 }
 
-// RunnerAlive tells whether the runner of an entry can still settle it.
+// RunnerAlive reports whether the runner of an entry can still settle it.
 func (h *Home) RunnerAlive(runner ident.InstanceName) bool {
 	return h.Health.Alive(runner)
 }
 
-// Partners lists the instances that share a shard with this one.
+// Partners returns the other members of the shards to which this instance belongs.
 func (h *Home) Partners() []ident.InstanceName {
 	seen := map[ident.InstanceName]bool{}
 	var list []ident.InstanceName
@@ -294,8 +298,8 @@
 	return list
 }
 
-// Counts returns how many shards this instance leads and backs up, and how
-// many ids they remember.
+// Counts returns how many shards this instance leads, how many it backs up, and the number
+// of ids in its shards.
 func (h *Home) Counts() (leads, backs, ids int) {
 	for i := range h.shards {
 		c := &h.shards[i]
--- a/croftmoor/home/lease.go
+++ b/croftmoor/home/lease.go
@@ -10,30 +10,33 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// A role, such as ordering weights for a service, belongs to the primary of
-// the role's shard. The lease on it is the backup's confirmation that it has
-// not moved on, which needs no append, so that roles go on while the
-// platform's log is out:
+// A role, such as ordering weights for a service, belongs to the primary of the
+// role's shard. The primary holds a lease on it while its backup confirms that it
+// is still in the same epoch. Confirmation needs no append, so roles continue
+// during an outage of the platform's log:
 //
-//	primary: confirms with the backup at time t; may act until t + Term - Longest
-//	backup:  last confirmed at time u; once promoted, acts from u + Term on
+//	primary: confirms at time t; may start an action until t + LeaseTerm - MaxActionTime
+//	backup:  last confirmed at time u; once promoted, acts from u + LeaseTerm on
 //
-// Every act ends within Longest, so the two never overlap as long as both
-// clocks run at about the same rate. The epoch of the view is the fencing
-// number, for those who check it.
+// Every action ends within MaxActionTime, so actions of the two never overlap while
+// both clocks run at about the same rate. The epoch of the view is the fencing
+// number, for receivers that check it.
 
 const (
-	// LeaseTerm is how long a confirmation counts.
+	// LeaseTerm is how long a confirmation is valid.
 	LeaseTerm = 4 * clock.Second
-	// MaxActionTime bounds one act under a lease.
+	// MaxActionTime bounds the duration of one action under a lease.
 	MaxActionTime = 1500 * clock.Millis(1)
-	renewAfter    = 1 * clock.Second
-	leaseID       = "lease/"
+	// renewAfter is the age of a confirmation at which Lease asks for a new one.
+	renewAfter = 1 * clock.Second
+	// leaseID is the id of the entry that a confirmation records at the backup.
+	leaseID = "lease/"
 )
 
-// Lease tells whether this instance holds the role now, for at least
-// LongestAct, and under which fencing number. It confirms with the backup
-// when the last confirmation has grown old.
+// Lease reports whether this instance holds the role for at least MaxActionTime from now,
+// and under which fencing number. If the last confirmation is older than renewAfter, it
+// asks the backup for a new one. A new primary holds no role until LeaseTerm after the
+// previous primary's last confirmation.
 func (h *Home) Lease(ctx context.Context, role string) (fence ident.Fence, held bool) {
 	number := views.ShardOf(role)
 	c := &h.shards[number]
@@ -52,8 +55,7 @@
 	return h.Holds(role)
 }
 
-// Holds tells the same from what is known, without asking the backup. It is
-// the check to make right before an act.
+// Holds is Lease without a request to the backup. Call it immediately before an action.
 func (h *Home) Holds(role string) (fence ident.Fence, held bool) {
 	c := &h.shards[views.ShardOf(role)]
 	c.mu.Lock()
@@ -63,13 +65,13 @@
 	return ident.Fence(view.Epoch), view.Primary == h.Self && c.leaseConfirmed > 0 && fresh
 }
 
-// Leader returns the instance that leads the role's shard.
+// Leader returns the primary of the role's shard, or "" if there is none.
 func (h *Home) Leader(role string) ident.InstanceName {
 	return h.view(views.ShardOf(role)).Primary
 }
 
-// renew confirms with the backup. The lease counts from before the question
-// was sent. An instance that is alone needs word from the log instead.
+// renew confirms the lease with the backup. The lease counts from before the request was
+// sent. A primary without a backup needs recent contact with the log instead.
 func (h *Home) renew(ctx context.Context, number views.Shard, view views.View) {
 	sentAt := h.Clock.Mono()
 	if view.Backup == "" {
--- a/croftmoor/home/mover.go
+++ b/croftmoor/home/mover.go
@@ -17,7 +17,7 @@
 	roundsPerExpiry = 20
 )
 
-// Run moves shards and passes states to backups until ctx ends.
+// Run proposes views, installs states at backups and expires entries until ctx ends.
 func (h *Home) Run(ctx context.Context) {
 	round := 0
 	h.Clock.Every(ctx, roundPeriod, func() {
@@ -30,7 +30,8 @@
 	})
 }
 
-// propose appends one record with all moves that are for this instance to make.
+// propose appends one record with all proposals of this instance, and waits until the
+// reader has applied it. A lost or rejected append is repeated in a later round.
 func (h *Home) propose(ctx context.Context) {
 	state := h.Reader.Current()
 	if state == nil || !h.Reader.CaughtUp() {
@@ -46,8 +47,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout.Duration())
 	defer cancel()
-	// An append that is lost or refused is made again in a later round; one
-	// that took effect is recognised by its epoch.
+	// Proposing twice is harmless: after the first, the base epoch has changed.
 	offset, err := h.Log.Append(ctx, fold.Stream, record)
 	for err == nil && h.Reader.Current().UpTo < offset {
 		if !h.Clock.Sleep(ctx, retryPause) {
@@ -75,7 +75,7 @@
 	return proposals
 }
 
-// installAll passes the state of the shards whose backup lacks it.
+// installAll sends the state of all shards whose backup lacks it, concurrently.
 func (h *Home) installAll(ctx context.Context) {
 	var group conc.WaitGroup
 	for i := range h.shards {
@@ -116,7 +116,8 @@
 	}
 }
 
-// Status is the standing of one shard for operators.
+// Status describes one shard for operators. Ready is once.Shard.Synced; IDs is the number
+// of entries.
 type Status struct {
 	Shard views.Shard
 	View  views.View
@@ -124,7 +125,7 @@
 	IDs   int
 }
 
-// Statuses lists the shards that this instance leads or backs up.
+// Statuses returns the shards that this instance leads or backs up.
 func (h *Home) Statuses() []Status {
 	var list []Status
 	for i := range h.shards {
@@ -141,7 +142,7 @@
 
 var _ peers.Shards = (*Home)(nil)
 
-// Ready tells whether every shard has a primary.
+// Ready reports whether every shard has a primary.
 func (h *Home) Ready() bool {
 	for i := range h.shards {
 		if h.view(views.Shard(i)).Primary == "" {
