--- a/kernel/deal/fixed.go
+++ b/kernel/deal/fixed.go
@@ -6,23 +6,23 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Fixed says which engine an item falls to while nobody can say who runs what: by
-// weighted rendezvous hashing among the engines that can run its job, a faster one or
-// one with more slots counting more. Instances whose knowledge differs by an engine
-// differ only on that engine's items; a deal by load would differ on all that follow.
-type Fixed struct {
+// Rendezvous assigns items to engines without knowledge of their load, by weighted
+// rendezvous hashing. The weight of an engine is its slots divided by its time per event.
+// Instances whose engine lists differ by one engine disagree only on that engine's items;
+// an assignment by load would differ on all items that follow.
+type Rendezvous struct {
 	engines []Engine
-	// weights and hashes are by engine.
-	weights []float64
-	hashes  []uint64
-	allowed func(ident.BackendName, ident.Job) bool
-	fits    map[ident.Job][]bool
+	// weights and hashes are indexed like engines.
+	weights       []float64
+	hashes        []uint64
+	allowed       func(ident.BackendName, ident.Job) bool
+	eligibleByJob map[ident.Job][]bool
 }
 
-// NewFixed returns what falls to which of the engines. Allowed tells whether an engine
-// can run a job's items.
-func NewFixed(engines []Engine, allowed func(ident.BackendName, ident.Job) bool) *Fixed {
-	f := &Fixed{engines: engines, allowed: allowed, fits: map[ident.Job][]bool{}}
+// NewRendezvous returns an assignment to the given engines. allowed reports whether an
+// engine can run a job's items; its results are cached by job.
+func NewRendezvous(engines []Engine, allowed func(ident.BackendName, ident.Job) bool) *Rendezvous {
+	f := &Rendezvous{engines: engines, allowed: allowed, eligibleByJob: map[ident.Job][]bool{}}
 	median := MedianPace(engines)
 	for i := range engines {
 		pace := engines[i].PerEvent
@@ -35,18 +35,18 @@
 	return f
 }
 
-// Engine returns the engine that an item falls to, if one can run it.
-func (f *Fixed) Engine(item ident.Item, job ident.Job) (ident.BackendName, bool) {
-	if f.fits[job] == nil {
-		f.fits[job] = fitting(f.engines, job, f.allowed)
+// Engine returns the engine for an item, or false if no engine can run the job.
+func (f *Rendezvous) Engine(item ident.Item, job ident.Job) (ident.BackendName, bool) {
+	if f.eligibleByJob[job] == nil {
+		f.eligibleByJob[job] = eligibility(f.engines, job, f.allowed)
 	}
-	own := ident.Hash(string(item))
+	itemHash := ident.Hash(string(item))
 	best, score := -1, math.Inf(-1)
-	for i, fits := range f.fits[job] {
-		if !fits {
+	for i, ok := range f.eligibleByJob[job] {
+		if !ok {
 			continue
 		}
-		if s := f.weights[i] / -math.Log(unit(own, f.hashes[i])); s > score {
+		if s := f.weights[i] / -math.Log(mixToUnitInterval(itemHash, f.hashes[i])); s > score {
 			best, score = i, s
 		}
 	}
@@ -56,8 +56,8 @@
 	return f.engines[best].Name, true
 }
 
-// unit mixes two hashes to a number between 0 and 1, neither included.
-func unit(a, b uint64) float64 {
+// mixToUnitInterval mixes two hashes into a number between 0 and 1, both exclusive.
+func mixToUnitInterval(a, b uint64) float64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 32
 	x *= 0xd6e8feb86659fd93
--- a/kernel/elect/elect_test.go
+++ b/kernel/elect/elect_test.go
@@ -9,18 +9,19 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// now is when the tests judge.
+// now is the current time in the tests.
 const now = 100 * clock.Second
 
-// zoneOf returns so many members of one zone, every fifth a powerful one, heard now.
+// zoneOf returns n members of one availability zone with a heartbeat at now. Every fifth
+// member has more processor time.
 func zoneOf(n int) []Member {
 	members := make([]Member, 0, n)
 	for i := range n {
-		power := Power(192)
+		power := Millicores(192)
 		if i%5 == 0 {
 			power = 800
 		}
-		members = append(members, Member{Name: ident.InstanceName(fmt.Sprintf("front-%d~1", i)), Zone: "z", Power: power, Heard: now})
+		members = append(members, Member{Name: ident.InstanceName(fmt.Sprintf("front-%d~1", i)), Zone: "z", Power: power, LastHeartbeat: now})
 	}
 	return members
 }
@@ -28,7 +29,7 @@
 func chosen(members []Member) []int {
 	var indices []int
 	for i, m := range members {
-		if m.Alive(now) && Chosen(m, members, now) {
+		if m.Alive(now) && ShouldFollow(m, members, now) {
 			indices = append(indices, i)
 		}
 	}
@@ -38,7 +39,7 @@
 func wantCount(t *testing.T, got []int, want int) {
 	t.Helper()
 	if len(got) != want {
-		t.Errorf("%d follow, want %d: %v", len(got), want, got)
+		t.Errorf("%d members should follow, want %d: %v", len(got), want, got)
 	}
 }
 
@@ -48,13 +49,13 @@
 	})
 	t.Run("the followers of a zone are bounded", func(t *testing.T) {
 		for _, n := range []int{9, 49, 400} {
-			wantCount(t, chosen(zoneOf(n)), PerZone)
+			wantCount(t, chosen(zoneOf(n)), FollowersPerZone)
 		}
 	})
 	t.Run("the powerful are chosen first", func(t *testing.T) {
 		for _, i := range chosen(zoneOf(49)) {
 			if i%5 != 0 {
-				t.Errorf("member %d follows, though powerful ones do not", i)
+				t.Errorf("member %d should follow, but members with more processor time should not", i)
 			}
 		}
 	})
@@ -64,7 +65,7 @@
 			other[i].Zone = "y"
 			other[i].Name += "y"
 		}
-		wantCount(t, chosen(append(zoneOf(20), other...)), 2*PerZone)
+		wantCount(t, chosen(append(zoneOf(20), other...)), 2*FollowersPerZone)
 	})
 	t.Run("those that are gone or leave are replaced", func(t *testing.T) {
 		members := zoneOf(49)
@@ -72,13 +73,13 @@
 		for n, i := range first {
 			members[i].Follows = true
 			members[i].Leaving = n%2 == 0
-			members[i].Heard = now - missed*FollowerPeriod - 1
+			members[i].LastHeartbeat = now - missedHeartbeats*FollowerHeartbeatPeriod - 1
 		}
 		second := chosen(members)
-		wantCount(t, second, PerZone)
+		wantCount(t, second, FollowersPerZone)
 		for _, i := range second {
 			if slices.Contains(first, i) {
-				t.Errorf("member %d is gone and was chosen", i)
+				t.Errorf("member %d is gone and was chosen again", i)
 			}
 		}
 	})
@@ -86,17 +87,17 @@
 		for lost := range 49 {
 			members := zoneOf(49)
 			for i := range lost {
-				members[i].Heard = 0
+				members[i].LastHeartbeat = 0
 			}
-			wantCount(t, chosen(members), min(PerZone, 49-lost))
+			wantCount(t, chosen(members), min(FollowersPerZone, 49-lost))
 		}
 	})
 	t.Run("a new life counts as the same member", func(t *testing.T) {
 		members := zoneOf(9)
 		again := members[chosen(members)[0]]
 		again.Name = again.Name[:len(again.Name)-1] + "2"
-		if !Chosen(again, members, now) {
-			t.Error("a follower that started again was not chosen")
+		if !ShouldFollow(again, members, now) {
+			t.Error("a restarted follower was not chosen")
 		}
 	})
 }
--- a/kernel/fold/fold.go
+++ b/kernel/fold/fold.go
@@ -1,10 +1,10 @@
-// Package fold turns the system's stream of the platform's log into the state
-// that every instance shares: the teams' configuration and the views of the
-// shards. The state is a pure function of the records up to an offset.
+// Package fold builds the state that all instances share from the system stream of
+// the platform's log: the teams' configuration and the views of the shards. The
+// state depends only on the records up to an offset.
 //
-// Records expire. A checkpoint record carries the whole state up to an offset;
-// a reader that starts late takes the first checkpoint after which no record
-// is missing, then the records behind it.
+// Records expire. A checkpoint record contains the whole state up to an offset. A
+// reader that starts late takes the first checkpoint after which no record is
+// missing, and then applies the records after it.
 package fold
 
 import (
@@ -23,16 +23,16 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// Corrupt means that a record could not be read.
+// Corrupt means that a record could not be decoded.
 const Corrupt Kind = "Corrupt"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Stream is the system's stream of the platform's log.
+// Stream is the name of the system stream in the platform's log.
 const Stream ident.Stream = "croftmoor"
 
-// recordKind tells what a record of the stream holds.
+// recordKind is the type of a record's body.
 type recordKind string
 
 const (
@@ -41,8 +41,8 @@
 	checkpointRecord recordKind = "Checkpoint"
 )
 
-// State is the shared state after the record at UpTo. It is not changed once
-// it has been handed out.
+// State is the shared state after the record at offset UpTo. It is immutable once it is
+// published.
 type State struct {
 	UpTo  ident.Offset
 	Conf  *conf.State
@@ -57,53 +57,56 @@
 	return &State{UpTo: s.UpTo, Conf: s.Conf.Clone(), Views: s.Views.Clone()}
 }
 
-// Reader folds the stream. Current may be called from any goroutine; the
-// rest is guarded by mu.
+// Reader builds the shared state from batches of records. All methods are safe for
+// concurrent use; mu guards the fields that are not atomic.
 type Reader struct {
-	// Changed is called after the state has moved, outside the lock; it may be nil.
-	Changed func(*State)
-
-	mu         sync.Mutex
-	current    atomic.Pointer[State]
-	waiting    []tail.Record
-	atEnd      bool
-	caughtUp   atomic.Bool
-	checkpoint atomic.Int64
+	// OnChange is called after a new state is published, without the lock; it may be nil.
+	OnChange func(*State)
+
+	mu      sync.Mutex
+	current atomic.Pointer[State]
+	// buffered are records that can't be applied yet because earlier ones are missing.
+	buffered []tail.Record
+	// readToEnd is true if the last batch reached the end of the log.
+	readToEnd bool
+	caughtUp  atomic.Bool
+	// lastCheckpoint is the log's timestamp of the newest checkpoint, in milliseconds.
+	lastCheckpoint atomic.Int64
 }
 
-// Current returns the newest state, or nil before there is one.
+// Current returns the newest state, or nil if there is none yet.
 func (r *Reader) Current() *State {
 	return r.current.Load()
 }
 
-// CaughtUp tells whether the reader once held all that the log held.
+// CaughtUp reports whether the state has ever reached the end of the log, or was adopted.
 func (r *Reader) CaughtUp() bool {
 	return r.caughtUp.Load()
 }
 
-// LastCheckpoint returns the log's time of the newest checkpoint seen, or 0.
+// LastCheckpoint returns the log's timestamp of the newest checkpoint seen, or 0.
 func (r *Reader) LastCheckpoint() clock.Millis {
-	return clock.Millis(r.checkpoint.Load())
+	return clock.Millis(r.lastCheckpoint.Load())
 }
 
-// Bereft tells that the log was read to its end and holds neither all records
-// nor a checkpoint, and that no peer has given a state.
-func (r *Reader) Bereft() bool {
+// StateMissing reports whether the log was read to its end without yielding a state
+// (records are missing and there is no usable checkpoint), and no state was adopted.
+func (r *Reader) StateMissing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.current.Load() == nil && r.atEnd
+	return r.current.Load() == nil && r.readToEnd
 }
 
-// NewBase returns a state without configuration to start from after upTo, all
-// shards marked lost. It is for a log that has lost the state before.
-func NewBase(upTo ident.Offset, at clock.Millis) *State {
+// NewRecoveryState returns a state at offset upTo without configuration, with all shards
+// marked lost. Use it if the log has lost the state.
+func NewRecoveryState(upTo ident.Offset, at clock.Millis) *State {
 	state := newState()
 	state.UpTo = upTo
 	state.Views.MarkLost(max(upTo, 1), at)
 	return state
 }
 
-// Apply folds a batch in order.
+// Apply applies a batch of records, which must be in order of their offsets.
 func (r *Reader) Apply(batch tail.Batch) {
 	r.mu.Lock()
 	state := r.current.Load()
@@ -111,42 +114,43 @@
 	if state == nil && batch.First <= 1 {
 		state = newState()
 	}
-	if state != nil && state.UpTo+1 >= batch.First && len(r.waiting) == 0 {
+	if state != nil && state.UpTo+1 >= batch.First && len(r.buffered) == 0 {
 		state = foldAll(state, batch.Records)
 	} else {
-		r.waiting = append(r.waiting, batch.Records...)
-		state = r.rebase(state, batch.First)
+		r.buffered = append(r.buffered, batch.Records...)
+		state = r.restoreFromCheckpoint(state, batch.First)
 	}
-	r.noteCheckpoints(batch.Records)
+	r.trackCheckpoints(batch.Records)
 	r.publish(state)
 	last := batch.First - 1
 	if n := len(batch.Records); n > 0 {
 		last = batch.Records[n-1].Offset
 	}
-	r.atEnd = last+1 >= batch.Next
-	if state != nil && len(r.waiting) == 0 && max(last, state.UpTo)+1 >= batch.Next {
+	r.readToEnd = last+1 >= batch.Next
+	if state != nil && len(r.buffered) == 0 && max(last, state.UpTo)+1 >= batch.Next {
 		r.caughtUp.Store(true)
 	}
 	r.mu.Unlock()
-	if state != before && r.Changed != nil {
-		r.Changed(state)
+	if state != before && r.OnChange != nil {
+		r.OnChange(state)
 	}
 }
 
-// Adopt takes a state that a peer or a checkpoint holds, if it is newer.
+// Adopt takes a state from a peer or a checkpoint if it is newer than the current one, and
+// reports whether it did.
 func (r *Reader) Adopt(state *State) bool {
 	r.mu.Lock()
 	current := r.current.Load()
 	newer := current == nil || state.UpTo > current.UpTo
 	if newer {
-		state = foldAll(state, r.waiting)
-		r.waiting = nil
+		state = foldAll(state, r.buffered)
+		r.buffered = nil
 		r.publish(state)
 		r.caughtUp.Store(true)
 	}
 	r.mu.Unlock()
-	if newer && r.Changed != nil {
-		r.Changed(state)
+	if newer && r.OnChange != nil {
+		r.OnChange(state)
 	}
 	return newer
 }
@@ -157,30 +161,31 @@
 	}
 }
 
-// rebase looks in the waiting records for a checkpoint after which nothing is
-// missing. Until there is one, the state before stays in force.
-func (r *Reader) rebase(state *State, first ident.Offset) *State {
-	for _, record := range r.waiting {
+// restoreFromCheckpoint searches the buffered records for a checkpoint after which no
+// record is missing, and applies the records after it. If there is none, it returns the
+// given state. first is the offset of the oldest record in the log.
+func (r *Reader) restoreFromCheckpoint(state *State, first ident.Offset) *State {
+	for _, record := range r.buffered {
 		base, ok := decodeCheckpoint(record)
 		if !ok || base.UpTo+1 < first || (state != nil && base.UpTo < state.UpTo) {
 			continue
 		}
-		state = foldAll(base, r.waiting)
-		r.waiting = nil
+		state = foldAll(base, r.buffered)
+		r.buffered = nil
 		return state
 	}
 	return state
 }
 
-func (r *Reader) noteCheckpoints(records []tail.Record) {
+func (r *Reader) trackCheckpoints(records []tail.Record) {
 	for _, record := range records {
-		if w, err := decode(record.Data); err == nil && w.Kind == checkpointRecord {
-			r.checkpoint.Store(int64(record.At))
+		if w, err := decodeRecord(record.Data); err == nil && w.Kind == checkpointRecord {
+			r.lastCheckpoint.Store(int64(record.At))
 		}
 	}
 }
 
-// foldAll returns the state after the records; the given state is not changed.
+// foldAll returns the state after the records, and leaves the given state unchanged.
 func foldAll(state *State, records []tail.Record) *State {
 	next := state
 	for _, record := range records {
@@ -195,11 +200,11 @@
 	return next
 }
 
-// foldOne applies one record. An unreadable record changes nothing, the same
-// for every reader.
+// foldOne applies one record to state. Every reader skips unreadable records, so that all
+// readers agree.
 func foldOne(state *State, record tail.Record) {
 	state.UpTo = record.Offset
-	w, err := decode(record.Data)
+	w, err := decodeRecord(record.Data)
 	if err != nil {
 		return
 	}
@@ -210,7 +215,7 @@
 		}
 	case viewsRecord:
 		if proposals, err := views.DecodeProposals(w.Body); err == nil {
-			state.Views.Judge(proposals, record.Offset, record.At)
+			state.Views.Apply(proposals, record.Offset, record.At)
 		}
 	case checkpointRecord:
 	}
@@ -227,16 +232,16 @@
 	Views json.RawMessage
 }
 
-func decode(data []byte) (recordWire, error) {
+func decodeRecord(data []byte) (recordWire, error) {
 	var w recordWire
 	if err := json.Unmarshal(data, &w); err != nil {
-		return w, fault.Wrap("fold.decode", Corrupt, err, "unreadable record")
+		return w, fault.Wrap("fold.decodeRecord", Corrupt, err, "invalid JSON of a record")
 	}
 	return w, nil
 }
 
 func decodeCheckpoint(record tail.Record) (*State, bool) {
-	w, err := decode(record.Data)
+	w, err := decodeRecord(record.Data)
 	if err != nil || w.Kind != checkpointRecord {
 		return nil, false
 	}
@@ -244,55 +249,55 @@
 	return state, err == nil
 }
 
-// EncodeState returns the JSON form of a state.
+// EncodeState returns a state as JSON.
 func EncodeState(s *State) ([]byte, error) {
 	config, err := conf.EncodeState(s.Conf)
 	if err != nil {
-		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "configuration")
+		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "can't encode the configuration")
 	}
 	shards, err := views.EncodeState(s.Views)
 	if err != nil {
-		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "views")
+		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "can't encode the views")
 	}
 	return json.Marshal(stateWire{UpTo: int64(s.UpTo), Conf: config, Views: shards})
 }
 
-// DecodeState reads the JSON form of a state.
+// DecodeState decodes the JSON of EncodeState.
 func DecodeState(data []byte) (*State, error) {
 	var w stateWire
 	if err := json.Unmarshal(data, &w); err != nil {
-		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "unreadable JSON")
+		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "invalid JSON of a state")
 	}
 	config, err := conf.DecodeState(w.Conf)
 	if err != nil {
-		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "configuration")
+		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "can't decode the configuration")
 	}
 	shards, err := views.DecodeState(w.Views)
 	if err != nil {
-		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "views")
+		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "can't decode the views")
 	}
 	return &State{UpTo: ident.Offset(w.UpTo), Conf: config, Views: shards}, nil
 }
 
-// ChangeRecord returns the record that applies a change.
+// ChangeRecord returns the record of a configuration change.
 func ChangeRecord(c conf.Change) ([]byte, error) {
 	body, err := conf.EncodeChange(c)
-	return wrap(changeRecord, body, err)
+	return encodeRecord(changeRecord, body, err)
 }
 
-// ViewsRecord returns the record that proposes views.
+// ViewsRecord returns the record of view proposals.
 func ViewsRecord(proposals []views.Proposal) ([]byte, error) {
 	body, err := views.EncodeProposals(proposals)
-	return wrap(viewsRecord, body, err)
+	return encodeRecord(viewsRecord, body, err)
 }
 
-// CheckpointRecord returns the record that carries a state.
+// CheckpointRecord returns the record of a checkpoint.
 func CheckpointRecord(s *State) ([]byte, error) {
 	body, err := EncodeState(s)
-	return wrap(checkpointRecord, body, err)
+	return encodeRecord(checkpointRecord, body, err)
 }
 
-func wrap(kind recordKind, body []byte, err error) ([]byte, error) {
+func encodeRecord(kind recordKind, body []byte, err error) ([]byte, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/kernel/once/once_test.go
+++ b/kernel/once/once_test.go
@@ -14,28 +14,27 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// CI draws the same histories every time; elsewhere each run draws others.
+// In CI, rapid uses a fixed seed; elsewhere every run draws new histories.
 func init() {
 	if os.Getenv("CI") != "" {
 		_ = flag.Set("rapid.seed", "20261202")
 	}
 }
 
-// shardModel runs one shard at three instances with messages that are delayed,
-// doubled and lost, views that are learnt late, and instances that lose their
-// memory. What it holds against all of them: no id is granted twice.
+// shardModel runs one shard at three instances, with lost and delayed messages and views
+// that instances learn late. Invariant: no id is granted twice.
 type shardModel struct {
-	names   []ident.InstanceName
-	shards  map[ident.InstanceName]*Shard
-	log     views.State
-	offset  ident.Offset
-	records []pendingRecord
-	runs    map[ident.RequestID]int
-	flights int64
-	now     clock.Millis
+	names    []ident.InstanceName
+	shards   map[ident.InstanceName]*Shard
+	log      views.State
+	offset   ident.Offset
+	records  []pendingRecord
+	runs     map[ident.RequestID]int
+	attempts int64
+	now      clock.Millis
 }
 
-// pendingRecord is a claim that waits for its backup.
+// pendingRecord is a claim whose Op is in flight to the backup.
 type pendingRecord struct {
 	primary ident.InstanceName
 	backup  ident.InstanceName
@@ -55,12 +54,12 @@
 	return m
 }
 
-func (m *shardModel) any(t *rapid.T) ident.InstanceName {
+func (m *shardModel) drawInstance(t *rapid.T) ident.InstanceName {
 	return rapid.SampledFrom(m.names).Draw(t, "instance")
 }
 
-// some returns an instance for which the condition holds, or nil.
-func (m *shardModel) some(t *rapid.T, condition func(*Shard) bool) *Shard {
+// drawShard draws an instance for which the condition holds, or returns nil.
+func (m *shardModel) drawShard(t *rapid.T, condition func(*Shard) bool) *Shard {
 	var fit []*Shard
 	for _, name := range m.names {
 		if condition(m.shards[name]) {
@@ -75,15 +74,15 @@
 
 func leads(s *Shard) bool { return s.View().Primary == s.Self }
 
-// propose has an instance propose a view as the policy would let it: with its
-// own view as the base, and only from state that it holds.
+// propose draws a view that the policy allows: based on the proposer's own view, and only
+// from an instance that holds the state.
 func (m *shardModel) propose(t *rapid.T) {
-	s := m.some(t, func(s *Shard) bool { return s.View().Epoch == 0 || s.HasState() })
+	s := m.drawShard(t, func(s *Shard) bool { return s.View().Epoch == 0 || s.HasState() })
 	if s == nil {
 		return
 	}
 	self, view := s.Self, s.View()
-	p := views.Proposal{Base: view.Epoch, Primary: self, Backup: m.any(t)}
+	p := views.Proposal{Base: view.Epoch, Primary: self, Backup: m.drawInstance(t)}
 	swap := view.Primary == self && s.Synced() && view.Backup != "" && rapid.Bool().Draw(t, "swap")
 	switch {
 	case view.Epoch == 0:
@@ -97,34 +96,34 @@
 
 func (m *shardModel) append(p views.Proposal) {
 	m.offset++
-	m.log.Judge([]views.Proposal{p}, m.offset, m.now)
+	m.log.Apply([]views.Proposal{p}, m.offset, m.now)
 }
 
-// learn lets an instance read the log up to its end.
+// learn applies the newest view at one instance.
 func (m *shardModel) learn(t *rapid.T) {
-	m.shards[m.any(t)].OnView(m.log.Views[0], m.now)
+	m.shards[m.drawInstance(t)].ApplyView(m.log.Views[0], m.now)
 }
 
 func (m *shardModel) install(t *rapid.T) {
-	primary := m.some(t, (*Shard).NeedsInstall)
+	primary := m.drawShard(t, (*Shard).NeedsInstall)
 	if primary == nil {
 		return
 	}
 	snapshot := primary.Snapshot(0)
 	backup := m.shards[primary.View().Backup]
 	if backup.Install(snapshot, primary.Self) == nil && rapid.Bool().Draw(t, "acknowledged") {
-		primary.Installed(snapshot.Epoch)
+		primary.ConfirmInstall(snapshot.Epoch)
 	}
 }
 
 func (m *shardModel) claim(t *rapid.T) {
 	id := ident.RequestID(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "id"))
-	primary := m.some(t, leads)
+	primary := m.drawShard(t, leads)
 	if primary == nil {
 		return
 	}
-	m.flights++
-	request := Request{ID: id, Runner: "runner", Flight: m.flights}
+	m.attempts++
+	request := Request{ID: id, Runner: "runner", Attempt: m.attempts}
 	entry, op, err := primary.Claim(request, m.now, func(bool) string { return "" })
 	if err != nil || entry.Status != Pending {
 		return
@@ -138,14 +137,14 @@
 
 func (m *shardModel) confirm(primary *Shard, op Op) {
 	if primary.Confirm(op) != nil {
-		primary.Deny(op)
+		primary.Abort(op)
 		return
 	}
 	m.runs[op.Entry.ID]++
 }
 
-// deliver ends one waiting claim: the backup may record it, and the answer
-// may be lost.
+// deliver ends one pending record: the Op may not arrive, and its acknowledgement may be
+// lost.
 func (m *shardModel) deliver(t *rapid.T) {
 	if len(m.records) == 0 {
 		return
@@ -159,20 +158,20 @@
 		err = b.Record(r.op, r.primary)
 	}
 	if err != nil || rapid.Bool().Draw(t, "answer lost") {
-		primary.Deny(r.op)
+		primary.Abort(r.op)
 		return
 	}
 	m.confirm(primary, r.op)
 }
 
 func (m *shardModel) settle(t *rapid.T) {
-	primary := m.some(t, leads)
+	primary := m.drawShard(t, leads)
 	if primary == nil {
 		return
 	}
 	for _, entry := range primary.Entries() {
 		if entry.Status == Granted {
-			op, ok := primary.Settle(Settlement{ID: entry.ID, Runner: entry.Runner, Flight: entry.Flight, Outcome: Ran})
+			op, ok := primary.Settle(Settlement{ID: entry.ID, Runner: entry.Runner, Attempt: entry.Attempt, Outcome: Ran})
 			if b := m.shards[primary.View().Backup]; ok && b != nil && rapid.Bool().Draw(t, "arrives") {
 				_ = b.Record(op, primary.Self)
 			}
@@ -199,14 +198,14 @@
 	})
 }
 
-// testNow is the time in the tests on single claims.
+// testNow is the current time in the tests of single claims.
 const testNow = clock.Minute
 
-// lead makes a shard lead alone.
+// lead returns a shard at instance a under the given view.
 func lead(t *testing.T, view views.View) *Shard {
 	t.Helper()
 	s := &Shard{Self: "a", RepeatWindow: clock.Minute}
-	s.OnView(view, testNow)
+	s.ApplyView(view, testNow)
 	return s
 }
 
@@ -229,19 +228,19 @@
 	first := views.View{Epoch: 1, Primary: "a"}
 	t.Run("a settled id is free or has its answer", func(t *testing.T) {
 		s := lead(t, first)
-		e := assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 1}, now, Pending)
-		s.Settle(Settlement{ID: "x", Runner: "r", Flight: e.Flight, Outcome: DidNotRun})
-		assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 2}, now, Pending)
-		s.Settle(Settlement{ID: "x", Runner: "r", Flight: 2, Outcome: Ran})
-		assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 3}, now, Done)
+		e := assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 1}, now, Pending)
+		s.Settle(Settlement{ID: "x", Runner: "r", Attempt: e.Attempt, Outcome: DidNotRun})
+		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 2}, now, Pending)
+		s.Settle(Settlement{ID: "x", Runner: "r", Attempt: 2, Outcome: Ran})
+		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 3}, now, Done)
 	})
 	t.Run("a late settlement of an earlier flight frees nothing", func(t *testing.T) {
 		s := lead(t, first)
-		assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 2}, now, Pending)
-		if _, ok := s.Settle(Settlement{ID: "x", Runner: "r", Flight: 1, Outcome: DidNotRun}); ok {
-			t.Fatal("the settlement of another flight was taken")
+		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 2}, now, Pending)
+		if _, ok := s.Settle(Settlement{ID: "x", Runner: "r", Attempt: 1, Outcome: DidNotRun}); ok {
+			t.Fatal("the settlement of another attempt was applied")
 		}
-		assertStatus(t, s, Request{ID: "x", Runner: "r", Flight: 3}, now, Granted)
+		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 3}, now, Granted)
 	})
 	t.Run("after a loss, ids that may have run before are unknown", func(t *testing.T) {
 		s := lead(t, views.View{Epoch: 9, Base: 5, Primary: "a", Lost: true})
@@ -254,7 +253,7 @@
 		s := lead(t, first)
 		_, _, err := s.Claim(Request{ID: "x"}, now, func(alone bool) string { return fmt.Sprint("alone ", alone) })
 		if err == nil {
-			t.Fatal("granted against the guard")
+			t.Fatal("the claim was granted although the guard refused")
 		}
 	})
 }
