--- a/croftmoor/pool/pool.go
+++ b/croftmoor/pool/pool.go
@@ -224,7 +224,7 @@
 		}
 	}
 	relateSpeeds(candidates)
-	request := route.Request{ID: q.ID, Zone: p.Zone, Work: meanWork(usable), Crossing: p.Crossing, Live: q.Live, Alone: q.Alone}
+	request := route.Request{ID: q.ID, Zone: p.Zone, Work: meanWork(usable), ZoneLatency: p.Crossing, Live: q.Live, LiveOnly: q.Alone}
 	choice := policy.Pick(request, candidates, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	if choice.Index < 0 {
 		return nil, "", choice.Reason
--- a/croftmoor/pool/server.go
+++ b/croftmoor/pool/server.go
@@ -104,8 +104,8 @@
 	}
 	c := route.Candidate{
 		Name: s.Name, Zone: s.Zone, Own: s.own, OwnLive: s.ownLive, Slots: q.Service.Slots, Weight: weight,
-		Reported: s.report.Running + s.report.Waiting, OwnThen: s.ownThen,
-		ReportAge: now - s.received, HasReport: s.received > 0, Pace: s.report.Pace, Speed: s.speed,
+		Reported: s.report.Running + s.report.Waiting, OwnAtReport: s.ownThen,
+		ReportAge: now - s.received, HasReport: s.received > 0, Slowdown: s.report.Pace, Speed: s.speed,
 	}
 	if slices.Contains(s.report.Cached, q.Family) {
 		c.Cached = 1
--- a/kernel/route/balanced.go
+++ b/kernel/route/balanced.go
@@ -100,7 +100,7 @@
 		cost += work * over / float64(max(c.Slots, 1))
 	}
 	if c.Zone != request.Zone {
-		cost += 2 * float64(request.Crossing)
+		cost += 2 * float64(request.ZoneLatency)
 	}
 	if !c.Warm {
 		cost += coldCost
@@ -109,7 +109,7 @@
 }
 
 // yields tells whether the load beyond full slots does not count for the request.
-func (r Request) yields() bool { return r.Live && !r.Alone }
+func (r Request) yields() bool { return r.Live && !r.LiveOnly }
 
 // speedOf returns the candidate's speed. Live requests only shun slow servers:
 // if all instances went for those that look fast, these would be full.
@@ -122,17 +122,17 @@
 
 // paceOf returns how many times as long as usual work is expected to take.
 func paceOf(c *Candidate) float64 {
-	if c.Pace <= 0 {
+	if c.Slowdown <= 0 {
 		return 1
 	}
-	return 1 + (c.Pace-1)*halving(c.ReportAge, paceHalfLife)
+	return 1 + (c.Slowdown-1)*halving(c.ReportAge, paceHalfLife)
 }
 
 func others(c *Candidate, mean float64) float64 {
 	if !c.HasReport {
 		return mean
 	}
-	told := float64(max(c.Reported-c.OwnThen, 0))
+	told := float64(max(c.Reported-c.OwnAtReport, 0))
 	trust := halving(c.ReportAge, reportHalfLife)
 	return told*trust + mean*(1-trust)
 }
@@ -145,7 +145,7 @@
 	sum, n := 0.0, 0.0
 	for _, i := range open {
 		if candidates[i].HasReport {
-			sum += float64(max(candidates[i].Reported-candidates[i].OwnThen, 0))
+			sum += float64(max(candidates[i].Reported-candidates[i].OwnAtReport, 0))
 			n++
 		}
 	}
--- a/kernel/route/route.go
+++ b/kernel/route/route.go
@@ -19,18 +19,18 @@
 	// OwnLive is how many of them are live.
 	OwnLive int
 	// Reported is how many requests the server said it had, ReportAge ago;
-	// OwnThen is how many of them were this instance's.
+	// OwnAtReport is how many of them were this instance's.
 	Reported  int
-	OwnThen   int
+	OwnAtReport   int
 	ReportAge clock.Millis
 	HasReport bool
 	// Slots is how many requests the server runs at once.
 	Slots int
 	// Weight is 0 for an ejected server and grows to 1 after its return.
 	Weight float64
-	// Pace is how many times as long as usual work takes there, as it said with the load; 0
+	// Slowdown is how many times as long as usual work takes there, as it said with the load; 0
 	// if it does not say.
-	Pace float64
+	Slowdown float64
 	// Speed is the observed speed relative to the mean of all, corrected for
 	// load; 0 means not known.
 	Speed float64
@@ -46,13 +46,13 @@
 	Zone ident.Zone
 	// Work is the expected time of the request on an idle server.
 	Work clock.Millis
-	// Crossing is the one-way latency to another availability zone.
-	Crossing clock.Millis
+	// ZoneLatency is the one-way latency to another availability zone.
+	ZoneLatency clock.Millis
 	// Live tells that the request goes before rollouts at an engine.
 	Live bool
-	// Alone tells that the servers run live requests only, so that each of them waits for
+	// LiveOnly tells that the servers run live requests only, so that each of them waits for
 	// those that came before.
-	Alone bool
+	LiveOnly bool
 }
 
 // Choice is the decision. Index is -1 if no candidate can be used.
