--- a/kernel/route/balanced.go
+++ b/kernel/route/balanced.go
@@ -8,70 +8,70 @@
 	"croftmoor.dev/kernel/clock"
 )
 
-// Balanced is the name of croftmoor's own policy.
+// Balanced is the name of the policy that picks the lowest expected completion time.
 const Balanced = "Balanced"
 
 const (
-	// reportHalfLife is the age at which a report counts half.
+	// reportHalfLife is the age at which a load report counts half.
 	reportHalfLife = 2 * clock.Second
-	// paceHalfLife is the age at which a told pace counts half. Servers that share their
-	// machine change it several times a second, so that it tells of the calls that begin
-	// now and of few after them.
-	paceHalfLife = 300 * clock.Millis(1)
-	// cacheGain is the share of a request's work that a whole cached prompt saves.
+	// slowdownHalfLife is the age at which a reported slowdown counts half. It is short
+	// because the slowdown of servers that share a machine changes several times a second.
+	slowdownHalfLife = 300 * clock.Millis(1)
+	// cacheGain is the share of a request's work that a fully cached prompt saves.
 	cacheGain = 0.1
-	// liveSpread weighs an own live request there when the request is live.
-	liveSpread = 2.0
-	// sampled is how many candidates are compared. Comparing a few at random
-	// keeps instances that saw the same stale report from choosing alike.
-	sampled = 2
-	// coldCost is what a new connection costs in milliseconds: its round trip, and
-	// the time for which it holds a slot of the server.
-	coldCost = 4
+	// ownLiveWeight is the load that each live request of this instance at a candidate
+	// adds for another live request.
+	ownLiveWeight = 2.0
+	// sampleSize is how many random candidates are compared. Random sampling keeps
+	// instances that hold the same stale report from choosing the same server.
+	sampleSize = 2
+	// connectCostMillis is the cost of a new connection: its round trip and the time for
+	// which it occupies a slot of the server.
+	connectCostMillis = 4
 )
 
 func init() {
 	Policies.Register(Balanced, func() Policy { return balanced{} })
 }
 
-// balanced compares the expected time of a few candidates: the own load, which
-// is fresh, the others' load, which fades as the report ages towards the mean
-// of all, the crossing between zones and the believed cache.
+// balanced compares the expected completion times of a few candidates. The estimate
+// uses this instance's own load, the load of other instances (which decays to the mean
+// of all servers as the report ages), zone latency, and prompt cache state.
 type balanced struct{}
 
-// Pick chooses the lowest expected time among the sampled candidates.
+// Pick chooses the candidate with the lowest expected time among those sampled.
 func (balanced) Pick(request Request, candidates []Candidate, random *rand.Rand) Choice {
-	open := usable(candidates, random)
-	mean := meanOthers(candidates, open)
+	available := usable(candidates, random)
+	mean := meanOthersLoad(candidates, available)
 	choice := None
-	best, second := 0.0, 0.0
-	for _, i := range sample(request, candidates, open, random) {
+	bestCost, secondCost := 0.0, 0.0
+	for _, i := range sample(request, candidates, available, random) {
 		cost := Cost(request, &candidates[i], mean)
 		switch {
-		case choice.Index < 0 || cost < best:
-			choice.RunnerUp, second = choice.Index, best
-			choice.Index, best = i, cost
-		case choice.RunnerUp < 0 || cost < second:
-			choice.RunnerUp, second = i, cost
+		case choice.Index < 0 || cost < bestCost:
+			choice.RunnerUp, secondCost = choice.Index, bestCost
+			choice.Index, bestCost = i, cost
+		case choice.RunnerUp < 0 || cost < secondCost:
+			choice.RunnerUp, secondCost = i, cost
 		}
 	}
 	if choice.Index >= 0 {
-		choice.Reason = fmt.Sprintf("expected %.0f ms, runner-up %.0f ms", best, second)
+		choice.Reason = fmt.Sprintf("expected %.0f ms, runner-up %.0f ms", bestCost, secondCost)
 	}
 	return choice
 }
 
-// sample returns a few random candidates, one more that is believed to have the
-// prompt cached, and one to which a connection rests, which spares a new one where
-// the loads are alike. With all of those, instances would choose alike.
-func sample(_ Request, candidates []Candidate, open []int, random *rand.Rand) []int {
-	if len(open) <= sampled {
-		return open
+// sample returns sampleSize random candidates, plus the first other one that has the
+// prompt cached and the first other one with an idle connection. Adding all of those
+// would make instances choose the same servers. It shuffles available.
+func sample(_ Request, candidates []Candidate, available []int, random *rand.Rand) []int {
+	if len(available) <= sampleSize {
+		return available
 	}
-	random.Shuffle(len(open), func(i, j int) { open[i], open[j] = open[j], open[i] })
-	chosen := slices.Clone(open[:sampled])
+	random.Shuffle(len(available), func(i, j int) { available[i], available[j] = available[j], available[i] })
+	chosen := slices.Clone(available[:sampleSize])
 	cached, warm := false, false
-	for _, i := range open[sampled:] {
+	for _, i := range available[sampleSize:] {
 		c := &candidates[i]
 		if (c.Cached > 0 && !cached) || (c.Warm && !warm) {
 			chosen = append(chosen, i)
@@ -81,69 +81,74 @@
 	return chosen
 }
 
-// Cost returns the expected milliseconds until a request is done at a
-// candidate, given the mean load that other instances cause.
-func Cost(request Request, c *Candidate, meanOthers float64) float64 {
-	load := float64(c.Own) + others(c, meanOthers)
-	if request.yields() {
-		// A live request waits for no rollout, so that beyond full slots only
-		// other live requests count; those of other instances are spread alike.
-		load = min(load, float64(c.Slots)) + liveSpread*float64(c.OwnLive)
+// Cost returns the expected time in milliseconds until a candidate completes the
+// request. meanOthersLoad is the mean load per server from other instances.
+func Cost(request Request, c *Candidate, meanOthersLoad float64) float64 {
+	load := float64(c.Own) + othersLoad(c, meanOthersLoad)
+	if request.skipsQueue() {
+		// A live request does not wait for rollouts, so only live requests count
+		// beyond full slots. Those of other instances are assumed evenly spread.
+		load = min(load, float64(c.Slots)) + ownLiveWeight*float64(c.OwnLive)
 	}
 	work := float64(max(request.Work, 1)) * (1 - cacheGain*c.Cached)
 	if c.Speed > 0 {
-		work /= speedOf(request, c)
+		work /= effectiveSpeed(request, c)
 	}
-	work *= paceOf(c)
+	work *= expectedSlowdown(c)
 	cost := work * (1 + load/float64(max(c.Slots, 1)))
-	if over := load + 1 - float64(c.Slots); over > 0 && !request.yields() {
+	if over := load + 1 - float64(c.Slots); over > 0 && !request.skipsQueue() {
 		cost += work * over / float64(max(c.Slots, 1))
 	}
 	if c.Zone != request.Zone {
 		cost += 2 * float64(request.ZoneLatency)
 	}
 	if !c.Warm {
-		cost += coldCost
+		cost += connectCostMillis
 	}
 	return cost
 }
 
-// yields tells whether the load beyond full slots does not count for the request.
-func (r Request) yields() bool { return r.Live && !r.LiveOnly }
+// skipsQueue reports whether the request is served ahead of the rollouts that wait at
+// a server.
+func (r Request) skipsQueue() bool { return r.Live && !r.LiveOnly }
 
-// speedOf returns the candidate's speed. Live requests only shun slow servers:
-// if all instances went for those that look fast, these would be full.
-func speedOf(request Request, c *Candidate) float64 {
+// effectiveSpeed returns the candidate's relative speed. For live requests it is at most
+// 1, because all instances would otherwise overload the servers that look fast.
+func effectiveSpeed(request Request, c *Candidate) float64 {
 	if request.Live {
 		return min(c.Speed, 1)
 	}
 	return c.Speed
 }
 
-// paceOf returns how many times as long as usual work is expected to take.
-func paceOf(c *Candidate) float64 {
+// expectedSlowdown returns the reported slowdown, decayed to 1 as the report ages.
+func expectedSlowdown(c *Candidate) float64 {
 	if c.Slowdown <= 0 {
 		return 1
 	}
-	return 1 + (c.Slowdown-1)*halving(c.ReportAge, paceHalfLife)
+	return 1 + (c.Slowdown-1)*decay(c.ReportAge, slowdownHalfLife)
 }
 
-func others(c *Candidate, mean float64) float64 {
+// othersLoad estimates the number of requests that other instances have at a candidate.
+func othersLoad(c *Candidate, mean float64) float64 {
 	if !c.HasReport {
 		return mean
 	}
-	told := float64(max(c.Reported-c.OwnAtReport, 0))
-	trust := halving(c.ReportAge, reportHalfLife)
-	return told*trust + mean*(1-trust)
+	reported := float64(max(c.Reported-c.OwnAtReport, 0))
+	weight := decay(c.ReportAge, reportHalfLife)
+	return reported*weight + mean*(1-weight)
 }
 
-func halving(age, halfLife clock.Millis) float64 {
+// decay returns a weight that falls from 1 at age 0 to one half at halfLife.
+func decay(age, halfLife clock.Millis) float64 {
 	return 1 / (1 + float64(max(age, 0))/float64(halfLife))
 }
 
-func meanOthers(candidates []Candidate, open []int) float64 {
+// meanOthersLoad returns the mean load from other instances over the candidates with a
+// report; available holds the indices to consider.
+func meanOthersLoad(candidates []Candidate, available []int) float64 {
 	sum, n := 0.0, 0.0
-	for _, i := range open {
+	for _, i := range available {
 		if candidates[i].HasReport {
 			sum += float64(max(candidates[i].Reported-candidates[i].OwnAtReport, 0))
 			n++
--- a/kernel/route/basic.go
+++ b/kernel/route/basic.go
@@ -20,33 +20,32 @@
 
 type randomPolicy struct{}
 
-// Pick chooses any usable candidate.
+// Pick chooses a usable candidate at random.
 func (randomPolicy) Pick(_ Request, candidates []Candidate, random *rand.Rand) Choice {
-	open := usable(candidates, random)
-	if len(open) == 0 {
+	available := usable(candidates, random)
+	if len(available) == 0 {
 		return None
 	}
-	return Choice{Index: open[random.IntN(len(open))], RunnerUp: -1, Reason: "random"}
+	return Choice{Index: available[random.IntN(len(available))], RunnerUp: -1, Reason: "random"}
 }
 
-// roundRobin counts its picks.
 type roundRobin struct {
 	next atomic.Uint64
 }
 
 // Pick chooses the next usable candidate in turn.
 func (p *roundRobin) Pick(_ Request, candidates []Candidate, random *rand.Rand) Choice {
-	open := usable(candidates, random)
-	if len(open) == 0 {
+	available := usable(candidates, random)
+	if len(available) == 0 {
 		return None
 	}
-	turn := p.next.Add(1) % uint64(len(open))
-	return Choice{Index: open[turn], RunnerUp: -1, Reason: "in turn"}
+	turn := p.next.Add(1) % uint64(len(available))
+	return Choice{Index: available[turn], RunnerUp: -1, Reason: "in turn"}
 }
 
 type leastReported struct{}
 
-// Pick chooses the lowest reported load.
+// Pick chooses the usable candidate with the lowest reported load.
 func (leastReported) Pick(_ Request, candidates []Candidate, random *rand.Rand) Choice {
 	choice := None
 	for _, i := range usable(candidates, random) {
--- a/kernel/route/pace_test.go
+++ b/kernel/route/pace_test.go
@@ -9,41 +9,41 @@
 	"croftmoor.dev/kernel/clock"
 )
 
-// The load of TestPace: servers that share their machines, so that each of them is slow for
-// a while now and then, and instances that know them by their answers only.
+// Load of TestPace: several instances send calls to servers that are intermittently slow.
+// Instances learn a server's load and slowdown only from its responses.
 const (
-	paceInstances = 12
-	paceServers   = 3
-	paceSlots     = 6
-	paceWork      = 21.0
-	slowShare     = 0.15
-	slowTimes     = 2.5
-	slowPeriod    = 600 * clock.Millis(1)
-	paceObjective = 150 * clock.Millis(1)
-	paceSpan      = 60 * clock.Second
-	paceLoad      = 0.8
+	simInstances     = 12
+	simServers       = 3
+	simSlots         = 6
+	simWorkMillis    = 21.0
+	slowProbability  = 0.15
+	slowFactor       = 2.5
+	slowPeriod       = 600 * clock.Millis(1)
+	latencyObjective = 150 * clock.Millis(1)
+	simDuration      = 60 * clock.Second
+	utilisation      = 0.8
 )
 
-type pacedServer struct {
-	running int
-	waiting []func()
-	pace    float64
+type simServer struct {
+	running  int
+	waiting  []func()
+	slowdown float64
 }
 
-// paced plays calls through a policy's choices.
-type paced struct {
+// simulation routes calls with the Balanced policy in simulated time.
+type simulation struct {
 	random *rand.Rand
-	// paces has a source of its own, so that the servers are slow at the same times
-	// whatever is chosen.
-	paces   *rand.Rand
-	blind   bool
-	now     clock.Millis
-	queue   timers
-	servers []*pacedServer
-	seen    [][]Candidate
-	heard   [][]clock.Millis
-	late    int
-	calls   int
+	// slowdowns is a separate random source, which makes servers slow at the same times
+	// whichever are chosen.
+	slowdowns      *rand.Rand
+	ignoreSlowdown bool
+	now            clock.Millis
+	queue          timers
+	servers        []*simServer
+	candidates     [][]Candidate
+	reportedAt     [][]clock.Millis
+	late           int
+	calls          int
 }
 
 type timer struct {
@@ -63,23 +63,23 @@
 	return last
 }
 
-func (p *paced) after(span clock.Millis, do func()) {
+func (p *simulation) after(span clock.Millis, do func()) {
 	heap.Push(&p.queue, timer{at: p.now + span, do: do})
 }
 
-// play returns how many calls were late.
-func (p *paced) play(seed uint64) int {
-	p.random, p.paces = rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
-	for range paceServers {
-		p.servers = append(p.servers, &pacedServer{pace: 1})
+// run returns how many calls exceeded latencyObjective.
+func (p *simulation) run(seed uint64) int {
+	p.random, p.slowdowns = rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
+	for range simServers {
+		p.servers = append(p.servers, &simServer{slowdown: 1})
 	}
-	for range paceInstances {
-		p.seen = append(p.seen, make([]Candidate, paceServers))
-		p.heard = append(p.heard, make([]clock.Millis, paceServers))
+	for range simInstances {
+		p.candidates = append(p.candidates, make([]Candidate, simServers))
+		p.reportedAt = append(p.reportedAt, make([]clock.Millis, simServers))
 	}
-	p.change()
-	p.arrive()
-	for len(p.queue) > 0 && p.now < paceSpan {
+	p.changeSlowdowns()
+	p.scheduleArrival()
+	for len(p.queue) > 0 && p.now < simDuration {
 		next, _ := heap.Pop(&p.queue).(timer)
 		p.now = next.at
 		next.do()
@@ -87,44 +87,44 @@
 	return p.late
 }
 
-func (p *paced) change() {
+func (p *simulation) changeSlowdowns() {
 	for _, s := range p.servers {
-		s.pace = 1
-		if p.paces.Float64() < slowShare {
-			s.pace = slowTimes
+		s.slowdown = 1
+		if p.slowdowns.Float64() < slowProbability {
+			s.slowdown = slowFactor
 		}
 	}
-	p.after(slowPeriod, p.change)
+	p.after(slowPeriod, p.changeSlowdowns)
 }
 
-func (p *paced) arrive() {
-	most := paceServers * paceSlots / paceWork / (1 + slowShare*(slowTimes-1))
-	p.after(clock.Millis(math.Round(p.random.ExpFloat64()/(most*paceLoad))), func() {
-		p.call(p.random.IntN(paceInstances))
-		p.arrive()
+func (p *simulation) scheduleArrival() {
+	capacity := simServers * simSlots / simWorkMillis / (1 + slowProbability*(slowFactor-1))
+	p.after(clock.Millis(math.Round(p.random.ExpFloat64()/(capacity*utilisation))), func() {
+		p.startCall(p.random.IntN(simInstances))
+		p.scheduleArrival()
 	})
 }
 
-func (p *paced) call(instance int) {
+func (p *simulation) startCall(instance int) {
 	p.calls++
-	candidates := make([]Candidate, paceServers)
+	candidates := make([]Candidate, simServers)
 	for i := range candidates {
-		c := p.seen[instance][i]
-		c.Zone, c.Slots, c.Weight, c.Warm = "z", paceSlots, 1, true
-		c.ReportAge = p.now - p.heard[instance][i]
-		if p.blind {
+		c := p.candidates[instance][i]
+		c.Zone, c.Slots, c.Weight, c.Warm = "z", simSlots, 1, true
+		c.ReportAge = p.now - p.reportedAt[instance][i]
+		if p.ignoreSlowdown {
 			c.Slowdown = 0
 		}
 		candidates[i] = c
 	}
-	request := Request{Zone: "z", Work: paceWork, ZoneLatency: 1, Live: true, LiveOnly: true}
-	at := balanced{}.Pick(request, candidates, p.random).Index
-	s, mine, began := p.servers[at], &p.seen[instance][at], p.now
-	mine.Own++
-	mine.OwnLive++
-	run := func() {
+	request := Request{Zone: "z", Work: simWorkMillis, ZoneLatency: 1, Live: true, LiveOnly: true}
+	chosen := balanced{}.Pick(request, candidates, p.random).Index
+	s, candidate, started := p.servers[chosen], &p.candidates[instance][chosen], p.now
+	candidate.Own++
+	candidate.OwnLive++
+	serve := func() {
 		s.running++
-		work := paceWork * s.pace * math.Exp(p.random.NormFloat64()*0.5-0.125)
+		work := simWorkMillis * s.slowdown * math.Exp(p.random.NormFloat64()*0.5-0.125)
 		p.after(clock.Millis(math.Round(work)), func() {
 			s.running--
 			if len(s.waiting) > 0 {
@@ -132,33 +132,33 @@
 				s.waiting = s.waiting[1:]
 				first()
 			}
-			mine.Own--
-			mine.OwnLive--
-			mine.Reported, mine.OwnAtReport, mine.HasReport, mine.Slowdown = s.running+len(s.waiting), mine.Own, true, s.pace
-			p.heard[instance][at] = p.now
-			if p.now-began > paceObjective {
+			candidate.Own--
+			candidate.OwnLive--
+			candidate.Reported, candidate.OwnAtReport, candidate.HasReport, candidate.Slowdown = s.running+len(s.waiting), candidate.Own, true, s.slowdown
+			p.reportedAt[instance][chosen] = p.now
+			if p.now-started > latencyObjective {
 				p.late++
 			}
 		})
 	}
-	if s.running < paceSlots {
-		run()
+	if s.running < simSlots {
+		serve()
 		return
 	}
-	s.waiting = append(s.waiting, run)
+	s.waiting = append(s.waiting, serve)
 }
 
-// Late calls are to be at most a third of those of a choice that does not know the pace.
+// TestPace checks that using the reported slowdown cuts late calls to a third or less.
 func TestPace(t *testing.T) {
-	before, now, calls := 0, 0, 0
+	lateIgnoring, lateInformed, calls := 0, 0, 0
 	for seed := range uint64(10) {
-		before += (&paced{blind: true}).play(seed)
-		told := &paced{}
-		now += told.play(seed)
-		calls += told.calls
+		lateIgnoring += (&simulation{ignoreSlowdown: true}).run(seed)
+		informed := &simulation{}
+		lateInformed += informed.run(seed)
+		calls += informed.calls
 	}
-	t.Logf("late of %d: %d blind, %d by the pace", calls, before, now)
-	if 3*now > before {
-		t.Errorf("%d late calls, %d with a choice that does not know the pace", now, before)
+	t.Logf("late of %d calls: %d ignoring the slowdown, %d using it", calls, lateIgnoring, lateInformed)
+	if 3*lateInformed > lateIgnoring {
+		t.Errorf("%d late calls using the slowdown, %d ignoring it; want a third at most", lateInformed, lateIgnoring)
 	}
 }
--- a/kernel/route/route.go
+++ b/kernel/route/route.go
@@ -1,5 +1,5 @@
-// Package route chooses the backend server for one request. A policy is a pure
-// decision on candidates; policies register themselves by name.
+// Package route chooses the backend server for a request. Routing policies do no I/O
+// and register themselves by name.
 package route
 
 import (
@@ -10,52 +10,54 @@
 	"croftmoor.dev/kernel/plug"
 )
 
-// Candidate is a backend server as this instance believes it to be.
+// Candidate is this instance's current estimate of a backend server's state.
 type Candidate struct {
 	Name ident.BackendName
 	Zone ident.Zone
-	// Own is how many requests of this instance run there now.
+	// Own is the number of this instance's requests at the server.
 	Own int
-	// OwnLive is how many of them are live.
+	// OwnLive is the number of those that are live.
 	OwnLive int
-	// Reported is how many requests the server said it had, ReportAge ago;
-	// OwnAtReport is how many of them were this instance's.
-	Reported  int
-	OwnAtReport   int
-	ReportAge clock.Millis
-	HasReport bool
+	// Reported is the number of running and waiting requests in the server's last
+	// report, which is ReportAge old. OwnAtReport is the number that this instance
+	// had there then.
+	Reported    int
+	OwnAtReport int
+	ReportAge   clock.Millis
+	HasReport   bool
 	// Slots is how many requests the server runs at once.
 	Slots int
-	// Weight is 0 for an ejected server and grows to 1 after its return.
+	// Weight is 0 for an ejected server and grows to 1 after readmission.
 	Weight float64
-	// Slowdown is how many times as long as usual work takes there, as it said with the load; 0
-	// if it does not say.
+	// Slowdown is the reported factor by which work takes longer than usual; 0 if the
+	// server does not report it.
 	Slowdown float64
-	// Speed is the observed speed relative to the mean of all, corrected for
-	// load; 0 means not known.
+	// Speed is the observed speed relative to the mean of all servers, corrected
+	// for load; 0 if unknown.
 	Speed float64
-	// Cached is the believed share of the prompt's prefix in its cache.
+	// Cached is the estimated share of the prompt's prefix that the server has cached,
+	// from 0 to 1.
 	Cached float64
-	// Warm tells that a connection to the server rests at this instance.
+	// Warm reports whether this instance has an idle connection to the server.
 	Warm bool
 }
 
-// Request is what a policy knows of the request.
+// Request describes the request to a policy.
 type Request struct {
 	ID   ident.RequestID
 	Zone ident.Zone
-	// Work is the expected time of the request on an idle server.
+	// Work is the expected run time of the request on an idle server.
 	Work clock.Millis
 	// ZoneLatency is the one-way latency to another availability zone.
 	ZoneLatency clock.Millis
-	// Live tells that the request goes before rollouts at an engine.
+	// Live reports whether engines serve the request ahead of rollouts.
 	Live bool
-	// LiveOnly tells that the servers run live requests only, so that each of them waits for
-	// those that came before.
+	// LiveOnly reports whether the servers run live requests only, in order of arrival.
 	LiveOnly bool
 }
 
-// Choice is the decision. Index is -1 if no candidate can be used.
+// Choice is a policy's decision. Index and RunnerUp index the candidates; -1 means
+// none.
 type Choice struct {
 	Index    int
 	RunnerUp int
@@ -73,21 +75,21 @@
 // Policies holds the policies by the name that configuration uses.
 var Policies plug.Registry[Policy]
 
-// usable returns the indices of candidates that are not ejected. A server on
-// its way back is used with the probability of its weight.
+// usable returns the indices of candidates that are not ejected. A server with a weight
+// below 1 is included with that probability; if none is included, all of them are.
 func usable(candidates []Candidate, random *rand.Rand) []int {
-	var open, closed []int
+	var available, skipped []int
 	for i, c := range candidates {
 		switch {
 		case c.Weight <= 0:
 		case c.Weight >= 1 || random.Float64() < c.Weight:
-			open = append(open, i)
+			available = append(available, i)
 		default:
-			closed = append(closed, i)
+			skipped = append(skipped, i)
 		}
 	}
-	if len(open) == 0 {
-		return closed
+	if len(available) == 0 {
+		return skipped
 	}
-	return open
+	return available
 }
--- a/kernel/route/route_test.go
+++ b/kernel/route/route_test.go
@@ -50,11 +50,11 @@
 	}
 }
 
-// TestNoHerding lets 13 instances choose on the same stale report, in which
-// one of ten engines looks idle, and counts how many go there.
+// TestNoHerding checks that instances which hold the same stale report, in which one of
+// ten engines looks idle, do not all send their requests there.
 func TestNoHerding(t *testing.T) {
 	const instances, requests = 13, 4
-	crowd := func(policy string) int {
+	sentToIdle := func(policy string) int {
 		onIdle := 0
 		for i := range instances {
 			candidates := make([]Candidate, 10)
@@ -72,10 +72,10 @@
 		}
 		return onIdle
 	}
-	if herd := crowd(LeastReported); herd != instances*requests {
-		t.Fatalf("the baseline sent %d", herd)
+	if herd := sentToIdle(LeastReported); herd != instances*requests {
+		t.Fatalf("the baseline sent %d requests to the engine that looked idle, want all", herd)
 	}
-	if herd := crowd(Balanced); herd > instances*requests/2 {
+	if herd := sentToIdle(Balanced); herd > instances*requests/2 {
 		t.Fatalf("%d of %d requests went to the engine that looked idle", herd, instances*requests)
 	}
 }
@@ -88,7 +88,7 @@
 	assertWeight(t, b, 101, 0, 0)
 	assertWeight(t, b, 100+eject.DefaultFirst+1, 0.01, 0.2)
 	assertWeight(t, b, 100+eject.DefaultFirst+eject.DefaultRamp, 1, 1)
-	// A failure on its way back ejects it again at once, for longer.
+	// A failure during the ramp ejects the server again at once, for longer.
 	b.Failed(100 + eject.DefaultFirst + 10)
 	assertWeight(t, b, 100+2*eject.DefaultFirst+20, 0, 0)
 }
