--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -140,8 +140,8 @@
 		return false
 	}
 	left := max(int(c.item.Expect)/eventTokens-made, made/madeShare, leastLeft)
-	return policy.Move(place.Moving{
-		Last: true, Left: ident.Tokens(left), Rate: perSecond(m.lasting()), Other: perSecond(other), Moves: c.item.Yields,
+	return policy.ShouldMove(place.MoveCandidate{
+		LastOfStep: true, TokensLeft: ident.Tokens(left), Rate: perSecond(m.lasting()), OtherRate: perSecond(other), Moves: c.item.Yields,
 	})
 }
 
--- a/croftmoor/feed/book.go
+++ b/croftmoor/feed/book.go
@@ -67,7 +67,7 @@
 	f := b.feed
 	ctx, cancel := context.WithCancel(f.base)
 	s := &step{
-		ledger:  steps.Open(open.Spec, open.Have, f.lengths.Expect, b.policy()),
+		ledger:  steps.Open(open.Spec, open.Have, f.lengths.Estimate, b.policy()),
 		changed: make(chan struct{}), base: ctx, cancel: cancel,
 	}
 	s.ledger.Publish(b.newest)
@@ -278,12 +278,12 @@
 // enough for the trainer's weighing of idle time against staleness.
 func (b *book) query(policy place.Policy, trainer conf.Trainer, service conf.Service, before int) pool.Query {
 	limits := place.Limits{
-		Slots: service.Slots, Bound: trainer.StalenessBound, IdleWeight: trainer.IdleWeight,
+		Slots: service.Slots, StalenessBound: trainer.StalenessBound, IdleWeight: trainer.IdleWeight,
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return pool.Query{
-		Service: service, Trainer: b.trainer, Least: max(0, b.newest-policy.Behind(limits, before)), Most: policy.Most(limits),
+		Service: service, Trainer: b.trainer, Least: max(0, b.newest-policy.MaxVersionsBehind(limits, before)), Most: policy.MaxLoad(limits),
 	}
 }
 
--- a/croftmoor/feed/feed.go
+++ b/croftmoor/feed/feed.go
@@ -54,7 +54,7 @@
 	Clock  *clock.Clock
 	Trail  *trail.Trail
 
-	lengths  guess.Lengths
+	lengths  guess.Estimator
 	group    conc.WaitGroup
 	mu       sync.Mutex
 	books    map[ident.Trainer]*book
--- a/croftmoor/feed/try.go
+++ b/croftmoor/feed/try.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.lengths.Seen(t.attempt.Prompt, answer.Tokens)
+	f.lengths.Observe(t.attempt.Prompt, answer.Tokens)
 	return &steps.Sample{
 		ID: t.id(), Slot: t.attempt.Slot, Prompt: t.attempt.Prompt, Text: answer.Text, Spans: answer.Spans,
 	}, nil
@@ -108,18 +108,18 @@
 	}
 	f := b.feed
 	spec := &t.step.ledger.Spec
-	left := f.lengths.Expect(t.attempt.Prompt) - s.Tokens
+	left := f.lengths.Estimate(t.attempt.Prompt) - s.Tokens
 	if left < s.Tokens/2 {
 		left = min(s.Tokens, spec.MaxTokens-s.Tokens)
 	}
 	server, rate := f.Pool.Best(b.query(b.policy(), t.trainer, t.service, 0), s.Server)
-	moving := place.Moving{Last: last, Left: left, Rate: s.Rate, Other: rate, Moves: s.Moves}
-	if server == nil || !b.policy().Move(moving) {
+	moving := place.MoveCandidate{LastOfStep: last, TokensLeft: left, Rate: s.Rate, OtherRate: rate, Moves: s.Moves}
+	if server == nil || !b.policy().ShouldMove(moving) {
 		return nil
 	}
 	f.Trail.Add(trail.Decision{
 		ID: t.id(), Action: trail.Place, Choice: string(server.Name), RunnerUp: string(s.Server.Name),
-		Reason: fmt.Sprintf("about %d tokens left, %.0f/s here, %.0f/s elsewhere", left, s.Rate, moving.Other),
+		Reason: fmt.Sprintf("about %d tokens left, %.0f/s here, %.0f/s elsewhere", left, s.Rate, moving.OtherRate),
 	})
 	return server
 }
--- a/croftmoor/keeper/keeper.go
+++ b/croftmoor/keeper/keeper.go
@@ -115,7 +115,7 @@
 		if err != nil {
 			continue
 		}
-		count := policy.Carriers(len(k.Pool.Servers(service.Name)), sharing(trainers, service.Name))
+		count := policy.EnginesPerTrainer(len(k.Pool.Servers(service.Name)), sharing(trainers, service.Name))
 		k.reconcile(ctx, trainer.Name, service, role, fence, count)
 	}
 }
--- a/kernel/guess/guess.go
+++ b/kernel/guess/guess.go
@@ -1,5 +1,5 @@
-// Package guess predicts how long answers get, per family of prompts, from the
-// lengths seen so far.
+// Package guess predicts the length of answers in tokens from the lengths of earlier
+// answers to prompts of the same family.
 package guess
 
 import (
@@ -10,55 +10,58 @@
 )
 
 const (
-	// smoothing weighs a new length against the mean so far.
+	// smoothing is the weight of a new length in the moving average.
 	smoothing = 0.2
-	// familyMark ends the part of a prompt that names its family.
-	familyMark = "|"
-	// familyBytes is the length of the family part of a prompt without a mark.
-	familyBytes = 32
+	// familySeparator ends the prefix of a prompt that names its family.
+	familySeparator = "|"
+	// defaultFamilyBytes is the prefix length used for a prompt without a separator.
+	defaultFamilyBytes = 32
+	// maxFamilies bounds memory: a new length clears all families beyond it.
 	maxFamilies = 4096
 )
 
-// Lengths learns lengths. The zero value is ready; its state is guarded by mu.
-type Lengths struct {
+// Estimator keeps a moving average of answer lengths for each family and for all prompts.
+// The zero value is ready to use; mu guards the fields.
+type Estimator struct {
 	mu       sync.Mutex
 	byFamily map[string]float64
-	overall  float64
+	mean     float64
 }
 
-// Family returns the part of the prompt that is taken to tell its kind.
+// Family returns the prefix of a prompt that identifies its family.
 func Family(prompt string) string {
-	if head, _, ok := strings.Cut(prompt, familyMark); ok {
+	if head, _, ok := strings.Cut(prompt, familySeparator); ok {
 		return head
 	}
-	return prompt[:min(len(prompt), familyBytes)]
+	return prompt[:min(len(prompt), defaultFamilyBytes)]
 }
 
-// Seen notes the length of a finished answer.
-func (l *Lengths) Seen(prompt string, length ident.Tokens) {
+// Observe records the length of a finished answer.
+func (l *Estimator) Observe(prompt string, length ident.Tokens) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byFamily == nil || len(l.byFamily) > maxFamilies {
 		l.byFamily = map[string]float64{}
 	}
 	family := Family(prompt)
-	l.byFamily[family] = blend(l.byFamily[family], float64(length))
-	l.overall = blend(l.overall, float64(length))
+	l.byFamily[family] = movingAverage(l.byFamily[family], float64(length))
+	l.mean = movingAverage(l.mean, float64(length))
 }
 
-// Expect returns the expected length of an answer; 0 if nothing was seen yet.
-func (l *Lengths) Expect(prompt string) ident.Tokens {
+// Estimate returns the expected length of an answer: the mean of its family, else the
+// mean of all answers, else 0.
+func (l *Estimator) Estimate(prompt string) ident.Tokens {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if mean, ok := l.byFamily[Family(prompt)]; ok {
 		return ident.Tokens(mean)
 	}
-	return ident.Tokens(l.overall)
+	return ident.Tokens(l.mean)
 }
 
-func blend(mean, seen float64) float64 {
+func movingAverage(mean, value float64) float64 {
 	if mean == 0 {
-		return seen
+		return value
 	}
-	return mean*(1-smoothing) + seen*smoothing
+	return mean*(1-smoothing) + value*smoothing
 }
--- a/kernel/place/move_test.go
+++ b/kernel/place/move_test.go
@@ -7,26 +7,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// An engine a third slower than the median of the users' deployments: 52 ms an
-	// event in place of 39.
-	slow := Moving{Last: true, Left: 100, Rate: 19, Other: 25.6}
+	// The other engine is a third faster.
+	slow := MoveCandidate{LastOfStep: true, TokensLeft: 100, Rate: 19, OtherRate: 25.6}
 	for _, c := range []struct {
 		name   string
-		change func(*Moving)
+		change func(*MoveCandidate)
 		want   bool
 	}{
-		{"a long rest on an engine that is a third slower", func(*Moving) {}, true},
-		{"a rest so short that the move takes what it saves", func(m *Moving) { m.Left = 20 }, false},
-		{"an engine that is hardly faster", func(m *Moving) { m.Other = 20.5 }, false},
-		{"an engine that is slower", func(m *Moving) { m.Other = 18 }, false},
-		{"a step that still waits for other samples", func(m *Moving) { m.Last = false }, false},
-		{"an answer that was moved often enough", func(m *Moving) { m.Moves = maxMoves }, false},
+		{"a long rest on an engine that is a third slower", func(*MoveCandidate) {}, true},
+		{"a rest so short that the move takes what it saves", func(m *MoveCandidate) { m.TokensLeft = 20 }, false},
+		{"an engine that is hardly faster", func(m *MoveCandidate) { m.OtherRate = 20.5 }, false},
+		{"an engine that is slower", func(m *MoveCandidate) { m.OtherRate = 18 }, false},
+		{"a step that still waits for other samples", func(m *MoveCandidate) { m.LastOfStep = false }, false},
+		{"an answer that was moved often enough", func(m *MoveCandidate) { m.Moves = maxMoves }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			moving := slow
 			c.change(&moving)
-			if got := policy.Move(moving); got != c.want {
-				t.Errorf("moves: %v, want %v", got, c.want)
+			if got := policy.ShouldMove(moving); got != c.want {
+				t.Errorf("ShouldMove = %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/kernel/place/place.go
+++ b/kernel/place/place.go
@@ -1,6 +1,6 @@
-// Package place decides how the samples of steps are started: in which order,
-// on how loaded engines, and on how old weights. Policies are pure and register
-// themselves by name.
+// Package place schedules the samples of training steps: their order, how loaded an
+// engine may be, how old its weights may be, and when an answer moves to another engine.
+// Policies do no I/O and register themselves by name.
 package place
 
 import (
@@ -11,39 +11,43 @@
 	"croftmoor.dev/kernel/plug"
 )
 
-// Slot is a sample that is to be started.
+// Slot is a sample of a step that has not been started.
 type Slot struct {
-	Index  ident.Slot
-	Expect ident.Tokens
+	Index ident.Slot
+	// Expected is the predicted length of the answer.
+	Expected ident.Tokens
 }
 
-// Limits is what a policy knows of the service and the trainer.
+// Limits holds the settings of the service and the trainer that a policy needs.
 type Limits struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// Bound is the trainer's staleness bound.
-	Bound ident.Version
-	// IdleWeight weighs idle time (1) against staleness (0).
+	// StalenessBound is the trainer's maximum staleness in versions.
+	StalenessBound ident.Version
+	// IdleWeight trades idle engine time against staleness: 1 minimises idle time, 0
+	// minimises staleness.
 	IdleWeight float64
 }
 
-// Policy decides how samples are started.
+// Policy decides how samples are scheduled.
 type Policy interface {
-	// Compare orders two slots of a step: negative if a starts first.
+	// Compare orders two slots of a step; it returns a negative number if a starts
+	// first.
 	Compare(a, b Slot) int
-	// Most is the load that an engine may be believed to have and still get a
-	// sample; 0 is no limit.
-	Most(l Limits) int
-	// Behind is how many versions an engine may be behind and still get a
-	// sample, given how many open steps of the trainer come before its step.
-	Behind(l Limits, stepsBefore int) ident.Version
-	// Carriers is how many of the engines carry one trainer's weights, when so
-	// many trainers share them.
-	Carriers(engines, trainers int) int
-	// Move tells whether an answer is better finished on another engine.
-	Move(m Moving) bool
-	// Priority is the engine priority of samples, given how many open steps of
-	// the trainer come before.
+	// MaxLoad returns the number of requests at which an engine gets no further
+	// samples; 0 means no limit.
+	MaxLoad(l Limits) int
+	// MaxVersionsBehind returns how many versions an engine's weights may be behind
+	// the newest. stepsBefore is the number of the trainer's open steps that precede
+	// the sample's step.
+	MaxVersionsBehind(l Limits, stepsBefore int) ident.Version
+	// EnginesPerTrainer returns how many of the engines hold one trainer's weights
+	// when that number of trainers shares them.
+	EnginesPerTrainer(engines, trainers int) int
+	// ShouldMove reports whether an answer should be finished on another engine.
+	ShouldMove(m MoveCandidate) bool
+	// Priority returns the priority that engines give to the samples of a step; higher
+	// runs first. stepsBefore is as for MaxVersionsBehind.
 	Priority(stepsBefore int) int
 }
 
@@ -52,9 +56,9 @@
 
 // Names of the policies.
 const (
-	// Longest starts the samples first that are expected to take longest.
+	// Longest starts the samples with the longest expected answers first.
 	Longest = "Longest"
-	// Arrival starts samples as they come, wherever; it is the baseline.
+	// Arrival starts samples in slot order without limits; it is the baseline.
 	Arrival = "Arrival"
 )
 
@@ -63,99 +67,102 @@
 	Policies.Register(Arrival, func() Policy { return arrival{} })
 }
 
-// Moving describes an answer that is being made, and the best other engine.
-type Moving struct {
-	// Last tells that no sample of its step is missing any more, so that the
-	// step ends with the answers that are being made.
-	Last bool
-	// Left is how many more tokens are expected.
-	Left ident.Tokens
-	// Rate is the tokens a second that the answer gets, Other what it would get.
-	Rate  float64
-	Other float64
-	// Moves is how often it was moved before.
+// MoveCandidate describes an answer in progress and the best other engine for it.
+type MoveCandidate struct {
+	// LastOfStep reports whether all samples of the step have been started, in which
+	// case the step ends with the answers in progress.
+	LastOfStep bool
+	// TokensLeft is the predicted number of tokens still to be generated. Callers may
+	// count in another unit, such as stream events, if both rates use it too.
+	TokensLeft ident.Tokens
+	// Rate is the current speed of the answer in tokens per second, and OtherRate the
+	// expected speed on the other engine.
+	Rate      float64
+	OtherRate float64
+	// Moves is how often the answer has been moved already.
 	Moves int
 }
 
 const (
-	// spread is how many times its even share of the engines a trainer's
-	// weights are on. More smooths the load, fewer are swapped sooner.
-	spread = 1.5
-	// leastCarriers keeps a trainer supplied when an engine fails.
-	leastCarriers = 2
-	// moveCost is the time that a move takes, in seconds, by measurement; moveGain
-	// is the share of the remaining time that it must save, and moveLeast the time
-	// itself in seconds, since speeds are only estimates; maxMoves bounds moves.
-	moveCost  = 0.15
-	moveGain  = 0.1
-	moveLeast = 0.3
-	maxMoves  = 3
+	// spreadFactor is the multiple of its even share of the engines on which a
+	// trainer's weights are loaded. A higher value balances load better, a lower one
+	// distributes new weights sooner.
+	spreadFactor = 1.5
+	// minEngines lets a trainer continue when one engine fails.
+	minEngines = 2
+	// moveSeconds is the time that a move takes. Speeds are estimates, so a move must
+	// save more than minSecondsSaved and minShareSaved of the remaining time. maxMoves
+	// bounds the moves of one answer.
+	moveSeconds     = 0.15
+	minShareSaved   = 0.1
+	minSecondsSaved = 0.3
+	maxMoves        = 3
 )
 
 type longest struct{}
 
-// Carriers gives each trainer somewhat more than its even share: weights reach
-// fewer engines sooner under the store's rate limit.
-func (longest) Carriers(engines, trainers int) int {
-	even := spread * float64(engines) / float64(max(trainers, 1))
-	return min(engines, max(leastCarriers, int(math.Ceil(even))))
+// EnginesPerTrainer returns spreadFactor times the trainer's even share. It does not use
+// all engines, because the store's rate limit delays new weights with each one.
+func (longest) EnginesPerTrainer(engines, trainers int) int {
+	evenShare := spreadFactor * float64(engines) / float64(max(trainers, 1))
+	return min(engines, max(minEngines, int(math.Ceil(evenShare))))
 }
 
-// Move moves the last answers of a step when that is expected to pay.
-func (longest) Move(m Moving) bool {
-	if !m.Last || m.Moves >= maxMoves || m.Rate <= 0 || m.Other <= m.Rate {
+// ShouldMove moves the last answers of a step if that saves enough time.
+func (longest) ShouldMove(m MoveCandidate) bool {
+	if !m.LastOfStep || m.Moves >= maxMoves || m.Rate <= 0 || m.OtherRate <= m.Rate {
 		return false
 	}
-	stay := float64(m.Left) / m.Rate
-	move := float64(m.Left)/m.Other + moveCost
-	return stay-move > max(moveLeast, moveGain*stay)
+	staySeconds := float64(m.TokensLeft) / m.Rate
+	totalMoveSeconds := float64(m.TokensLeft)/m.OtherRate + moveSeconds
+	return staySeconds-totalMoveSeconds > max(minSecondsSaved, minShareSaved*staySeconds)
 }
 
-// Compare puts the longer one first: a step ends with its last sample.
+// Compare puts the longer answer first, because a step ends with its last sample.
 func (longest) Compare(a, b Slot) int {
-	return cmp.Or(cmp.Compare(b.Expect, a.Expect), cmp.Compare(a.Index, b.Index))
+	return cmp.Or(cmp.Compare(b.Expected, a.Expected), cmp.Compare(a.Index, b.Index))
 }
 
-// Most lets no sample queue at an engine. Live requests need no slot left free,
-// since they go before samples there.
-func (longest) Most(l Limits) int { return l.Slots }
+// MaxLoad returns the number of slots, which keeps samples from queueing at an engine. No
+// slot is reserved for live requests, because engines serve them ahead of samples.
+func (longest) MaxLoad(l Limits) int { return l.Slots }
 
-// rounding makes a whole number of the weighed bound.
+// rounding is added before truncation to round to the nearest integer.
 const rounding = 0.5
 
-// Behind allows the whole bound at weight 1 and only the newest version at 0,
-// less what the trainer will probably have published by the hand-over: one
-// version, and one for each step before.
-func (longest) Behind(l Limits, stepsBefore int) ident.Version {
-	weighed := ident.Version(float64(l.Bound)*l.IdleWeight + rounding)
-	return max(0, min(weighed, l.Bound-1-ident.Version(stepsBefore)))
+// MaxVersionsBehind returns StalenessBound scaled by IdleWeight. It leaves room for the
+// versions that the trainer is likely to publish before the step is handed over: one, and
+// one more for each earlier step.
+func (longest) MaxVersionsBehind(l Limits, stepsBefore int) ident.Version {
+	allowed := ident.Version(float64(l.StalenessBound)*l.IdleWeight + rounding)
+	return max(0, min(allowed, l.StalenessBound-1-ident.Version(stepsBefore)))
 }
 
-// mostPriority is the priority of the step that a trainer waits for; it stays
-// below that of live callers.
-const mostPriority = 5
+// maxPriority is the priority of the step that a trainer waits for. It must stay below
+// the priority of live requests.
+const maxPriority = 5
 
-// Priority puts the step that the trainer needs first before later ones.
+// Priority ranks earlier steps of the trainer higher.
 func (longest) Priority(stepsBefore int) int {
-	return max(0, mostPriority-stepsBefore)
+	return max(0, maxPriority-stepsBefore)
 }
 
 type arrival struct{}
 
-// Carriers puts the weights on all engines.
-func (arrival) Carriers(engines, _ int) int { return engines }
+// EnginesPerTrainer returns the number of engines.
+func (arrival) EnginesPerTrainer(engines, _ int) int { return engines }
 
-// Move never moves.
-func (arrival) Move(Moving) bool { return false }
+// ShouldMove returns false.
+func (arrival) ShouldMove(MoveCandidate) bool { return false }
 
-// Compare keeps the order of the slots.
+// Compare orders slots by index.
 func (arrival) Compare(a, b Slot) int { return cmp.Compare(a.Index, b.Index) }
 
-// Most sets no limit.
-func (arrival) Most(Limits) int { return 0 }
+// MaxLoad returns 0, no limit.
+func (arrival) MaxLoad(Limits) int { return 0 }
 
-// Behind sets no limit.
-func (arrival) Behind(l Limits, _ int) ident.Version { return l.Bound }
+// MaxVersionsBehind returns the staleness bound.
+func (arrival) MaxVersionsBehind(l Limits, _ int) ident.Version { return l.StalenessBound }
 
-// Priority is the same for all steps.
+// Priority returns 0 for all steps.
 func (arrival) Priority(int) int { return 0 }
--- a/kernel/steps/steps.go
+++ b/kernel/steps/steps.go
@@ -119,7 +119,7 @@
 	l := &Ledger{Spec: spec, slots: make([]slotState, spec.Slots())}
 	order := make([]place.Slot, len(l.slots))
 	for i := range l.slots {
-		order[i] = place.Slot{Index: ident.Slot(i), Expect: expect(spec.Prompt(ident.Slot(i)))}
+		order[i] = place.Slot{Index: ident.Slot(i), Expected: expect(spec.Prompt(ident.Slot(i)))}
 	}
 	l.missing = len(l.slots)
 	slices.SortFunc(order, policy.Compare)
