--- a/kernel/fleet/fleet.go
+++ b/kernel/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet is what the platform's lagging list says of instances and
-// backend servers, joined with what croftmoor has seen for itself.
+// Package fleet tracks the instances and backend servers in the platform's member list,
+// and the members that announced that they are leaving before the list shows it.
 package fleet
 
 import (
@@ -20,16 +20,16 @@
 
 // Kinds of errors.
 const (
-	// Unavailable means that the list could not be read.
+	// Unavailable means that the member list could not be read.
 	Unavailable Kind = "Unavailable"
-	// Unchanged means that the list is the one that was read last.
+	// Unchanged means that the list has not changed since the last read.
 	Unchanged Kind = "Unchanged"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// MemberKind tells an entry instance from a backend server.
+// MemberKind is the role of a member: an entry instance or a backend server.
 type MemberKind string
 
 // Kinds of members.
@@ -38,7 +38,7 @@
 	Backend MemberKind = "Backend"
 )
 
-// MemberState is the state that the list gives.
+// MemberState is the state of a member in the list.
 type MemberState string
 
 // States of members.
@@ -47,62 +47,68 @@
 	Leaving MemberState = "Leaving"
 )
 
-// Member is one line of the list.
+// Member is one entry of the list.
 type Member struct {
 	// Name is an ident.InstanceName or an ident.BackendName.
 	Name    string
 	Kind    MemberKind
 	Service ident.Service
 	Zone    ident.Zone
-	// Address takes callers' requests.
+	// Address serves callers' requests.
 	Address ident.Address
-	// Peer takes other instances' calls; only entry instances have it.
-	Peer  ident.Address
+	// Peer serves calls from other instances; only entry instances have it.
+	Peer ident.Address
+	// Admin serves administrative requests.
 	Admin ident.Address
 	State MemberState
-	// Slots is how many requests a backend server runs at once; 0 is unknown.
+	// Slots is the number of requests that a backend server runs concurrently; 0 if
+	// unknown.
 	Slots int
-	// Spot tells that the platform may withdraw the server at short notice.
+	// Spot reports whether the platform may withdraw the server at short notice.
 	Spot bool
-	// Versions are the weights that a model engine says it runs.
+	// Versions holds the weight version of each model that an engine reports.
 	Versions map[ident.Model]ident.Version
 }
 
-// Directory reads the platform's list.
+// Directory reads the platform's member list.
 type Directory interface {
+	// Connect sets the address of the list.
 	Connect(address ident.Address)
+	// List returns all members, or an error of kind Unavailable or Unchanged.
 	List(ctx context.Context) ([]Member, error)
 }
 
-// Directories holds the list clients by the name that settings use.
+// Directories holds the Directory implementations by their name in the settings.
 var Directories plug.Registry[Directory]
 
-// View is the members at one moment. It is not changed once handed out.
+// View is an immutable snapshot of the members, each list sorted by name.
 type View struct {
 	Entries  []Member
 	Backends map[ident.Service][]Member
 }
 
-// Table follows the list. Set the exported fields before Run. The marks are
-// guarded by mu; View may be called from any goroutine.
+// Table holds the latest view of the list. Set the exported fields before Run. The view
+// and the leaving marks may be used from any goroutine; mu guards the marks.
 type Table struct {
 	Directory Directory
 	Clock     *clock.Clock
-	// Period is the pause between two reads of the list.
+	// Period is the interval between reads of the list.
 	Period clock.Millis
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// leaving holds when MarkLeaving was last called, by member name.
 	leaving map[string]clock.Millis
 	view    atomic.Pointer[View]
 }
 
 const (
 	listTimeout = 2 * clock.Second
-	// markTerm is how long an own sign of leaving outlives the list's word.
-	markTerm = 30 * clock.Second
+	// leavingMarkTTL is how long a leaving mark lasts. A server that does not leave is
+	// used again afterwards.
+	leavingMarkTTL = 30 * clock.Second
 )
 
-// View returns the newest view; it is never nil.
+// View returns the latest view; it is never nil.
 func (t *Table) View() *View {
 	if v := t.view.Load(); v != nil {
 		return v
@@ -110,8 +116,8 @@
 	return &View{Backends: map[ident.Service][]Member{}}
 }
 
-// Run reads the list until ctx ends. While the list can't be read, the last
-// view stays.
+// Run refreshes the view every Period until ctx is done. The last view stays in use
+// while the list cannot be read.
 func (t *Table) Run(ctx context.Context) {
 	for {
 		t.Refresh(ctx)
@@ -121,7 +127,8 @@
 	}
 }
 
-// Refresh reads the list once.
+// Refresh reads the list once. It keeps the last view if the list is unchanged or the read
+// fails.
 func (t *Table) Refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout.Duration())
 	defer cancel()
@@ -131,7 +138,7 @@
 	}
 }
 
-// Set replaces the members.
+// Set replaces all members. It sorts the slice in place.
 func (t *Table) Set(members []Member) {
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	view := &View{Backends: map[ident.Service][]Member{}}
@@ -145,8 +152,8 @@
 	t.view.Store(view)
 }
 
-// MarkLeaving notes that a member itself said that it is leaving, which the
-// list will only say later.
+// MarkLeaving records that a member announced that it is leaving; the list shows this
+// only later.
 func (t *Table) MarkLeaving(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,19 +163,20 @@
 	t.leaving[name] = t.Clock.Mono()
 }
 
-// MarkedLeaving tells whether MarkLeaving was called for the member lately.
+// MarkedLeaving reports whether MarkLeaving was called for the member within
+// leavingMarkTTL.
 func (t *Table) MarkedLeaving(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at, ok := t.leaving[name]
-	if ok && t.Clock.Mono()-at > markTerm {
+	markedAt, ok := t.leaving[name]
+	if ok && t.Clock.Mono()-markedAt > leavingMarkTTL {
 		delete(t.leaving, name)
 		return false
 	}
 	return ok
 }
 
-// Entry finds an entry instance by name.
+// Entry returns the entry instance with the given name, and whether it exists.
 func (v *View) Entry(name ident.InstanceName) (Member, bool) {
 	for _, m := range v.Entries {
 		if m.Name == string(name) {
--- a/kernel/fleet/fleet_test.go
+++ b/kernel/fleet/fleet_test.go
@@ -11,16 +11,15 @@
 	table := &Table{Clock: c}
 	table.Set([]Member{{Name: "b", Kind: Backend, Service: "s", State: Live}, {Name: "a", Kind: Entry, State: Live}})
 	if v := table.View(); len(v.Entries) != 1 || len(v.Backends["s"]) != 1 {
-		t.Fatalf("%+v", v)
+		t.Fatalf("view is %+v, want one entry instance and one backend server", v)
 	}
 	table.MarkLeaving("b")
 	if !table.MarkedLeaving("b") || table.MarkedLeaving("a") {
-		t.Fatal("only the marked member is leaving")
+		t.Fatal("want b marked as leaving, and a not")
 	}
-	// A server that has taken its word back is used again, though the list
-	// does not change.
-	c.Advance(markTerm + 1)
+	// The mark expires, so that a server which stays after all is used again.
+	c.Advance(leavingMarkTTL + 1)
 	if table.MarkedLeaving("b") {
-		t.Fatal("the mark outlived its term")
+		t.Fatal("the mark did not expire after leavingMarkTTL")
 	}
 }
--- a/kernel/fleet/http.go
+++ b/kernel/fleet/http.go
@@ -14,27 +14,26 @@
 	Directories.Register("Http", func() Directory { return &httpDirectory{} })
 }
 
-// httpDirectory reads the list over HTTP with a JSON body. It names the tag of
-// the list that it has, so that an unchanged one is not sent again. It is used by
-// one goroutine.
+// httpDirectory reads the list as JSON over HTTP, with conditional requests that avoid
+// transferring an unchanged list. It must be used by one goroutine at a time.
 type httpDirectory struct {
 	address ident.Address
 	client  httpc.Client
-	tag     string
+	etag    string
 }
 
-// Names of the header fields that make a read conditional.
+// Header fields of conditional requests.
 const (
-	tagHeader   = "Etag"
-	knownHeader = "If-None-Match"
+	etagHeader        = "Etag"
+	ifNoneMatchHeader = "If-None-Match"
 )
 
-// ListWire is the JSON form of the list.
+// ListWire is the JSON form of the member list.
 type ListWire struct {
 	Members []MemberWire
 }
 
-// MemberWire is the JSON form of a member.
+// MemberWire is the JSON form of a member; the field names are the JSON names.
 type MemberWire struct {
 	Name    string
 	Kind    string
@@ -46,32 +45,32 @@
 	State   string
 }
 
-// Connect sets the list's address.
+// Connect sets the address of the list.
 func (d *httpDirectory) Connect(address ident.Address) {
 	d.address = address
 }
 
-// List reads the list.
+// List reads the member list.
 func (d *httpDirectory) List(ctx context.Context) ([]Member, error) {
 	call := &httpc.Call{Address: d.address, Method: http.MethodGet, Path: "/members"}
-	if d.tag != "" {
-		call.Headers = []httpc.Header{{Name: knownHeader, Value: d.tag}}
+	if d.etag != "" {
+		call.Headers = []httpc.Header{{Name: ifNoneMatchHeader, Value: d.etag}}
 	}
 	answer, err := d.client.Do(ctx, call)
 	if err != nil {
-		return nil, fault.Wrap("fleet.List", Unavailable, err, "the platform's list could not be read")
+		return nil, fault.Wrap("fleet.List", Unavailable, err, "could not read the platform's member list")
 	}
 	if answer.Status == http.StatusNotModified {
-		return nil, fault.New("fleet.List", Unchanged, "the list is the same")
+		return nil, fault.New("fleet.List", Unchanged, "the member list has not changed")
 	}
 	var wire ListWire
 	if answer.Status != http.StatusOK {
-		return nil, fault.Wrap("fleet.List", Unavailable, httpc.StatusError(call, answer), "the platform's list was refused")
+		return nil, fault.Wrap("fleet.List", Unavailable, httpc.StatusError(call, answer), "the platform refused the request for the member list")
 	}
 	if err := json.Unmarshal(answer.Body, &wire); err != nil {
-		return nil, fault.Wrap("fleet.List", Unavailable, err, "the platform's list is unreadable")
+		return nil, fault.Wrap("fleet.List", Unavailable, err, "the platform's member list is not valid JSON")
 	}
-	d.tag = answer.Header(tagHeader)
+	d.etag = answer.Header(etagHeader)
 	members := make([]Member, 0, len(wire.Members))
 	for _, w := range wire.Members {
 		members = append(members, MemberFromWire(w))
@@ -79,7 +78,7 @@
 	return members, nil
 }
 
-// MemberFromWire converts the JSON form.
+// MemberFromWire converts a member from its JSON form.
 func MemberFromWire(w MemberWire) Member {
 	return Member{
 		Name: w.Name, Kind: MemberKind(w.Kind), Service: ident.Service(w.Service), Zone: ident.Zone(w.Zone),
@@ -87,7 +86,7 @@
 	}
 }
 
-// MemberToWire converts to the JSON form.
+// MemberToWire converts a member to its JSON form.
 func MemberToWire(m Member) MemberWire {
 	return MemberWire{
 		Name: m.Name, Kind: string(m.Kind), Service: string(m.Service), Zone: string(m.Zone),
--- a/kernel/guess/guess.go
+++ b/kernel/guess/guess.go
@@ -16,7 +16,7 @@
 	familySeparator = "|"
 	// defaultFamilyBytes is the prefix length used for a prompt without a separator.
 	defaultFamilyBytes = 32
-	// maxFamilies bounds memory: a new length clears all families beyond it.
+	// maxFamilies bounds byFamily; with more entries, the next Observe clears it.
 	maxFamilies = 4096
 )
 
