--- a/croftmoor/calls/calls.go
+++ b/croftmoor/calls/calls.go
@@ -161,7 +161,7 @@
 	if how == answered {
 		return Answer{Status: answer.Status, ContentType: answer.Header(typeHeader), Body: answer.Body, Backend: server.Name}, how, nil
 	}
-	if ctx.Err() == nil && server.Breaker.Failed(now) {
+	if ctx.Err() == nil && server.Breaker.RecordFailure(now) {
 		c.note(r, trail.Hold, server.Name, "", "ejected after failures")
 	}
 	return Answer{}, how, err
--- a/croftmoor/calls/guard_test.go
+++ b/croftmoor/calls/guard_test.go
@@ -22,7 +22,7 @@
 func (g *tableGuard) Quiet() bool { return g.table.Empty() }
 
 func (g *tableGuard) Held(r poison.Fingerprint) (left clock.Millis, why string) {
-	return g.table.Verdict(r, g.clock.Mono()).Left, "held"
+	return g.table.Verdict(r, g.clock.Mono()).HeldFor, "held"
 }
 
 func (g *tableGuard) Ended(r poison.Fingerprint, server ident.BackendName) {
--- a/croftmoor/gener/gener.go
+++ b/croftmoor/gener/gener.go
@@ -187,7 +187,7 @@
 	givenUp := ctx.Err() != nil || fault.KindOf[Kind](err) != ""
 	if !done && !givenUp {
 		r.tried = append(r.tried, server.Name)
-		if server.Breaker.Failed(now) {
+		if server.Breaker.RecordFailure(now) {
 			r.Trail.Add(trail.Decision{ID: string(r.request.ID), Action: trail.Hold, Choice: string(server.Name), Reason: "ejected after failures"})
 		}
 	}
--- a/croftmoor/guard/guard.go
+++ b/croftmoor/guard/guard.go
@@ -152,17 +152,17 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v := g.table.Verdict(request, g.Clock.Mono())
-	if v.Left == 0 && !g.ready() {
+	if v.HeldFor == 0 && !g.ready() {
 		return unreadPause, "which requests are held has not been read yet"
 	}
-	if v.Left == 0 {
+	if v.HeldFor == 0 {
 		return 0, ""
 	}
-	why = fmt.Sprintf("request %s: %d servers ended under it, the last one was heard of %d ms ago; it is held for %d ms", request, v.Ends, v.Age, v.Left)
-	if v.Doubt {
+	why = fmt.Sprintf("request %s: %d servers ended under it, the last one was heard of %d ms ago; it is held for %d ms", request, v.Ends, v.SinceLastEnd, v.HeldFor)
+	if v.Ambiguous {
 		why += ", since another request was there each time"
 	}
-	return v.Left, why
+	return v.HeldFor, why
 }
 
 // Ended tells all instances that a server ended while it ran a request.
@@ -206,7 +206,7 @@
 		if news = g.table.Ended(r, told, now); news {
 			v := g.table.Verdict(r.Request, now)
 			g.Log.Info().Str("Request", string(r.Request)).Str("Server", string(r.Server)).
-				Bool("Told", told).Int("Ends", v.Ends).Int64("HeldMillis", int64(v.Left)).Bool("Doubt", v.Doubt).Msg("server ended under a request")
+				Bool("Told", told).Int("Ends", v.Ends).Int64("HeldMillis", int64(v.HeldFor)).Bool("Doubt", v.Ambiguous).Msg("server ended under a request")
 		}
 	case poison.Answer:
 		if news = g.table.Suspected(r.Request); news {
--- a/croftmoor/pool/again_test.go
+++ b/croftmoor/pool/again_test.go
@@ -22,7 +22,7 @@
 	}
 	first := list(1)
 	for range 3 {
-		first.Breaker.Failed(c.Mono())
+		first.Breaker.RecordFailure(c.Mono())
 	}
 	first.NoteLoad(Report{Running: 9}, c.Mono())
 	ended := make(chan struct{})
--- a/croftmoor/pool/server.go
+++ b/croftmoor/pool/server.go
@@ -146,7 +146,7 @@
 	}
 	s.mu.Unlock()
 	if ok {
-		s.Breaker.Succeeded(now)
+		s.Breaker.RecordSuccess(now)
 	}
 }
 
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -270,7 +270,7 @@
 		p.note(r, trail.Retry, server, "the server has not run it")
 		return nil, true
 	}
-	if verdict.Faulty && server.Breaker.Failed(p.Clock.Mono()) {
+	if verdict.Faulty && server.Breaker.RecordFailure(p.Clock.Mono()) {
 		p.note(r, trail.Hold, server, "ejected after answers of failure")
 	}
 	if verdict.Faulty && repeatable && s.left(r.Route) {
@@ -316,7 +316,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	if server.Breaker.Failed(p.Clock.Mono()) {
+	if server.Breaker.RecordFailure(p.Clock.Mono()) {
 		p.note(r, trail.Hold, server, "ejected after failures")
 	}
 	p.note(r, trail.Retry, server, err.Error())
--- a/croftmoor/proxy/stream.go
+++ b/croftmoor/proxy/stream.go
@@ -94,7 +94,7 @@
 	stream, err := p.Client.Open(ctx, p.streamCall(r, server, f))
 	if err != nil {
 		f.noteLost(err, began)
-		server.Breaker.Failed(p.Clock.Mono())
+		server.Breaker.RecordFailure(p.Clock.Mono())
 		if fault.KindOf[httpc.Kind](err) == httpc.Lost {
 			p.noteEnd(ctx, &r, &f.state, server, p.Clock.Mono()-began)
 		}
--- a/kernel/eject/eject.go
+++ b/kernel/eject/eject.go
@@ -10,13 +10,13 @@
 
 // Defaults of a Breaker.
 const (
-	DefaultFailures = 3
-	DefaultFirst    = 1 * clock.Second
-	DefaultMost     = 30 * clock.Second
-	DefaultRamp     = 5 * clock.Second
+	FailureThreshold = 3
+	FirstEjection    = 1 * clock.Second
+	MaxEjection     = 30 * clock.Second
+	RampDuration     = 5 * clock.Second
 
-	// lowestWeight is what a server that was just let in starts from.
-	lowestWeight = 0.05
+	// minWeight is what a server that was just let in starts from.
+	minWeight = 0.05
 )
 
 // Breaker follows one backend server. The zero value uses the defaults; its
@@ -24,38 +24,38 @@
 type Breaker struct {
 	mu       sync.Mutex
 	failures int
-	trips    int
-	until    clock.Millis
-	returned clock.Millis
+	ejections    int
+	ejectedUntil    clock.Millis
+	readmittedAt clock.Millis
 }
 
-// Failed notes a failure. It reports whether the server was ejected by it.
-func (b *Breaker) Failed(now clock.Millis) bool {
+// RecordFailure notes a failure. It reports whether the server was ejected by it.
+func (b *Breaker) RecordFailure(now clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now < b.until {
+	if now < b.ejectedUntil {
 		return false
 	}
 	b.failures++
-	ramping := b.trips > 0 && now < b.returned+DefaultRamp
-	if b.failures < DefaultFailures && !ramping {
+	ramping := b.ejections > 0 && now < b.readmittedAt+RampDuration
+	if b.failures < FailureThreshold && !ramping {
 		return false
 	}
 	b.failures = 0
-	pause := DefaultFirst << min(b.trips, 5)
-	b.trips++
-	b.until = now + min(pause, DefaultMost)
-	b.returned = b.until
+	ejection := FirstEjection << min(b.ejections, 5)
+	b.ejections++
+	b.ejectedUntil = now + min(ejection, MaxEjection)
+	b.readmittedAt = b.ejectedUntil
 	return true
 }
 
-// Succeeded notes a success.
-func (b *Breaker) Succeeded(now clock.Millis) {
+// RecordSuccess notes a success.
+func (b *Breaker) RecordSuccess(now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failures = 0
-	if b.trips > 0 && now >= b.returned+DefaultRamp {
-		b.trips = 0
+	if b.ejections > 0 && now >= b.readmittedAt+RampDuration {
+		b.ejections = 0
 	}
 }
 
@@ -63,12 +63,12 @@
 func (b *Breaker) Weight(now clock.Millis) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now < b.until {
+	if now < b.ejectedUntil {
 		return 0
 	}
-	if b.trips == 0 || now >= b.returned+DefaultRamp {
+	if b.ejections == 0 || now >= b.readmittedAt+RampDuration {
 		return 1
 	}
-	share := float64(now-b.returned) / float64(DefaultRamp)
-	return max(lowestWeight, share)
+	share := float64(now-b.readmittedAt) / float64(RampDuration)
+	return max(minWeight, share)
 }
--- a/kernel/route/route_test.go
+++ b/kernel/route/route_test.go
@@ -82,15 +82,15 @@
 
 func TestBreaker(t *testing.T) {
 	b := &eject.Breaker{}
-	for range eject.DefaultFailures {
-		b.Failed(100)
+	for range eject.FailureThreshold {
+		b.RecordFailure(100)
 	}
 	assertWeight(t, b, 101, 0, 0)
-	assertWeight(t, b, 100+eject.DefaultFirst+1, 0.01, 0.2)
-	assertWeight(t, b, 100+eject.DefaultFirst+eject.DefaultRamp, 1, 1)
+	assertWeight(t, b, 100+eject.FirstEjection+1, 0.01, 0.2)
+	assertWeight(t, b, 100+eject.FirstEjection+eject.RampDuration, 1, 1)
 	// A failure during the ramp ejects the server again at once, for longer.
-	b.Failed(100 + eject.DefaultFirst + 10)
-	assertWeight(t, b, 100+2*eject.DefaultFirst+20, 0, 0)
+	b.RecordFailure(100 + eject.FirstEjection + 10)
+	assertWeight(t, b, 100+2*eject.FirstEjection+20, 0, 0)
 }
 
 func assertWeight(t *testing.T, b *eject.Breaker, now clock.Millis, low, high float64) {
