--- a/kernel/eject/eject.go
+++ b/kernel/eject/eject.go
@@ -1,5 +1,5 @@
-// Package eject keeps a backend server that fails out of the routing, and lets
-// it back in slowly.
+// Package eject implements a circuit breaker that removes a failing backend server from
+// routing and readmits it gradually.
 package eject
 
 import (
@@ -8,28 +8,36 @@
 	"croftmoor.dev/kernel/clock"
 )
 
-// Defaults of a Breaker.
+// Parameters of a Breaker.
 const (
+	// FailureThreshold is the number of consecutive failures that ejects a server.
 	FailureThreshold = 3
-	FirstEjection    = 1 * clock.Second
-	MaxEjection     = 30 * clock.Second
-	RampDuration     = 5 * clock.Second
+	// FirstEjection is the length of the first ejection. Each further one is twice as long,
+	// up to MaxEjection, until a success after the ramp resets it.
+	FirstEjection = 1 * clock.Second
+	MaxEjection   = 30 * clock.Second
+	// RampDuration is how long the weight takes to grow to 1 after readmission. A single
+	// failure during that time ejects the server again.
+	RampDuration = 5 * clock.Second
 
-	// minWeight is what a server that was just let in starts from.
+	// minWeight is the weight of a server that was just readmitted.
 	minWeight = 0.05
 )
 
-// Breaker follows one backend server. The zero value uses the defaults; its
-// state is guarded by mu.
+// Breaker tracks the failures of one backend server. The zero value is ready to use; mu
+// guards the fields.
 type Breaker struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// failures counts consecutive failures since the last ejection or success.
 	failures int
+	// ejections counts ejections since the last success after a complete ramp.
 	ejections    int
-	ejectedUntil    clock.Millis
+	ejectedUntil clock.Millis
 	readmittedAt clock.Millis
 }
 
-// RecordFailure notes a failure. It reports whether the server was ejected by it.
+// RecordFailure records a failure and reports whether it ejected the server. Failures
+// during an ejection are ignored.
 func (b *Breaker) RecordFailure(now clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,7 +57,7 @@
 	return true
 }
 
-// RecordSuccess notes a success.
+// RecordSuccess records a success.
 func (b *Breaker) RecordSuccess(now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +67,8 @@
 	}
 }
 
-// Weight returns 0 while the server is ejected, then a share that grows to 1.
+// Weight returns the server's share of its normal traffic: 0 during an ejection, then
+// growing from minWeight to 1 over RampDuration.
 func (b *Breaker) Weight(now clock.Millis) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
