--- a/croftmoor/guard/guard.go
+++ b/croftmoor/guard/guard.go
@@ -184,7 +184,7 @@
 func (g *Guard) HeldCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.Held(g.Clock.Mono())
+	return g.table.CountHeld(g.Clock.Mono())
 }
 
 // note takes a record over and, unless the log told of it, passes it on.
@@ -220,7 +220,7 @@
 
 // noteHeld logs a change of the number of held requests; mu is held.
 func (g *Guard) noteHeld(now clock.Millis) {
-	if held := g.table.Held(now); held != g.held {
+	if held := g.table.CountHeld(now); held != g.held {
 		g.Log.Warn().Int("Held", held).Int("Before", g.held).Msg("requests kept from servers")
 		g.held = held
 	}
@@ -299,7 +299,7 @@
 	g.mu.Lock()
 	now := g.Clock.Mono()
 	g.table.Forget(now)
-	ends := g.table.Renew(now, g.late())
+	ends := g.table.DueForRenewal(now, g.late())
 	dropped := g.dropped
 	g.dropped = 0
 	g.noteHeld(now)
--- a/kernel/poison/print.go
+++ b/kernel/poison/print.go
@@ -15,9 +15,9 @@
 // caller sends one again, whoever takes it.
 type Fingerprint string
 
-// printBytes is how much of the hash is kept: 128 bits, so that no caller finds a
+// fingerprintBytes is how much of the hash is kept: 128 bits, so that no caller finds a
 // request with the fingerprint of another one.
-const printBytes = 16
+const fingerprintBytes = 16
 
 // Subject is what a request asks for, and for whom.
 type Subject struct {
@@ -39,5 +39,5 @@
 		_, _ = hash.Write([]byte(part))
 	}
 	_, _ = hash.Write(s.Body)
-	return Fingerprint(hex.EncodeToString(hash.Sum(nil)[:printBytes]))
+	return Fingerprint(hex.EncodeToString(hash.Sum(nil)[:fingerprintBytes]))
 }
--- a/kernel/poison/record.go
+++ b/kernel/poison/record.go
@@ -36,8 +36,8 @@
 const (
 	endKind    = "End"
 	answerKind = "Answer"
-	// longestName bounds the name of a server in a record, in bytes.
-	longestName = 255
+	// maxNameBytes bounds the name of a server in a record, in bytes.
+	maxNameBytes = 255
 )
 
 func (e End) wire() recordWire {
@@ -64,12 +64,12 @@
 	if err := json.Unmarshal(data, &w); err != nil {
 		return nil, fault.Wrap("poison.Decode", Invalid, err, "not a record")
 	}
-	if len(w.Request) != 2*printBytes {
+	if len(w.Request) != 2*fingerprintBytes {
 		return nil, fault.New("poison.Decode", Invalid, "the record names no request")
 	}
 	switch w.Kind {
 	case endKind:
-		if w.Server == "" || len(w.Server) > longestName {
+		if w.Server == "" || len(w.Server) > maxNameBytes {
 			return nil, fault.New("poison.Decode", Invalid, "the record of an end names no server")
 		}
 		return End{Request: Fingerprint(w.Request), Server: ident.BackendName(w.Server)}, nil
--- a/kernel/poison/table.go
+++ b/kernel/poison/table.go
@@ -15,25 +15,25 @@
 	// for themselves and by their operators; that two do so under a request which comes again at once
 	// happens when a zone is lost; three cost a service of four servers nearly all of it.
 	Threshold = 3
-	// holdTerm is how long a held request goes to no server after the last one that ended
+	// holdDuration is how long a held request goes to no server after the last one that ended
 	// under it: long enough that a request which comes each second costs a server each ten
 	// minutes, short enough that one which a new release of the service runs well is
 	// served again the same hour.
-	holdTerm = 10 * 60 * clock.Second
-	// doubtTerm is the same while another request was there each time as well: only one
+	holdDuration = 10 * 60 * clock.Second
+	// ambiguousHoldDuration is the same while another request was there each time as well: only one
 	// of the two did it, and the next run tells which. It is longer than a server takes
 	// to start again, 2 to 3 s, so that an innocent request finds one to prove itself.
-	doubtTerm = 5 * clock.Second
-	// suspectTerm is how long ends are remembered that are too few to hold a request.
-	suspectTerm = 5 * 60 * clock.Second
-	// renewTerm is how long after the log last told of a held request it is told again,
+	ambiguousHoldDuration = 5 * clock.Second
+	// suspectRetention is how long ends are remembered that are too few to hold a request.
+	suspectRetention = 5 * 60 * clock.Second
+	// renewalPeriod is how long after the log last told of a held request it is told again,
 	// well within the 300 s that the log keeps records, so that instances which start
 	// later know of it.
-	renewTerm = 100 * clock.Second
+	renewalPeriod = 100 * clock.Second
 	// mostSuspects bounds the requests that are remembered, and mostEnds the ends of
 	// each: some 100 bytes an end, 6 MB at most (reckoned). The oldest that are not held give way.
 	mostSuspects = 4096
-	mostEnds     = 16
+	maxEnds     = 16
 )
 
 // End is a server that ended while it ran a request.
@@ -44,14 +44,14 @@
 
 // Verdict is what is known of a request.
 type Verdict struct {
-	// Left is for how long it goes to no server; 0 if it may.
-	Left clock.Millis
+	// HeldFor is for how long it goes to no server; 0 if it may.
+	HeldFor clock.Millis
 	// Ends is how many servers have ended under it, and Age how long ago the last one was
 	// heard of.
 	Ends int
-	Age  clock.Millis
-	// Doubt tells that another request was there each time as well.
-	Doubt bool
+	SinceLastEnd  clock.Millis
+	// Ambiguous tells that another request was there each time as well.
+	Ambiguous bool
 }
 
 // Table is what one reader knows of requests under which servers ended. It has no lock
@@ -114,7 +114,7 @@
 		return false
 	}
 	s.last = now
-	if len(s.ends) < mostEnds {
+	if len(s.ends) < maxEnds {
 		s.ends[e.Server] = true
 	}
 	if len(s.ends) >= Threshold {
@@ -132,7 +132,7 @@
 		return
 	}
 	for server := range s.ends {
-		if len(s.excused) < mostEnds {
+		if len(s.excused) < maxEnds {
 			s.excused[server] = true
 		}
 	}
@@ -149,26 +149,26 @@
 	if s == nil {
 		return Verdict{}
 	}
-	v := Verdict{Ends: len(s.ends), Age: now - s.last}
+	v := Verdict{Ends: len(s.ends), SinceLastEnd: now - s.last}
 	if h, held := t.held[request]; held {
-		v.Doubt = h.doubt
-		v.Left = max(h.term()-v.Age, 0)
+		v.Ambiguous = h.doubt
+		v.HeldFor = max(h.term()-v.SinceLastEnd, 0)
 	}
 	return v
 }
 
 func (h hold) term() clock.Millis {
 	if h.doubt {
-		return doubtTerm
+		return ambiguousHoldDuration
 	}
-	return holdTerm
+	return holdDuration
 }
 
-// Held returns how many requests go to no server.
-func (t *Table) Held(now clock.Millis) int {
+// CountHeld returns how many requests go to no server.
+func (t *Table) CountHeld(now clock.Millis) int {
 	n := 0
 	for request := range t.held {
-		if t.Verdict(request, now).Left > 0 {
+		if t.Verdict(request, now).HeldFor > 0 {
 			n++
 		}
 	}
@@ -178,9 +178,9 @@
 // Forget drops what is too old to matter.
 func (t *Table) Forget(now clock.Millis) {
 	for request, s := range t.suspects {
-		term := suspectTerm
+		term := suspectRetention
 		if _, held := t.held[request]; held {
-			term = holdTerm + suspectTerm
+			term = holdDuration + suspectRetention
 		}
 		if now-s.last > term {
 			delete(t.suspects, request)
@@ -191,13 +191,13 @@
 	t.judge()
 }
 
-// Renew returns the ends of the held requests that the log has not told of for a
+// DueForRenewal returns the ends of the held requests that the log has not told of for a
 // while; late puts it off, so that not all instances do it at once.
-func (t *Table) Renew(now, late clock.Millis) []End {
+func (t *Table) DueForRenewal(now, late clock.Millis) []End {
 	var ends []End
 	for request := range t.held {
 		s := t.suspects[request]
-		if now-s.told < renewTerm+late || t.Verdict(request, now).Left == 0 {
+		if now-s.told < renewalPeriod+late || t.Verdict(request, now).HeldFor == 0 {
 			continue
 		}
 		for server := range s.ends {
--- a/kernel/poison/table_test.go
+++ b/kernel/poison/table_test.go
@@ -26,18 +26,18 @@
 	innocent Fingerprint = "innocent"
 )
 
-func life(n int) ident.BackendName { return ident.NewBackend(fmt.Sprintf("s%d", n), 1) }
+func serverName(n int) ident.BackendName { return ident.NewBackend(fmt.Sprintf("s%d", n), 1) }
 
 // ended notes that servers ended under a request.
 func ended(t *Table, request Fingerprint, servers ...int) {
 	for _, n := range servers {
-		t.Ended(End{Request: request, Server: life(n)}, true, 0)
+		t.Ended(End{Request: request, Server: serverName(n)}, true, 0)
 	}
 }
 
 func wantHeld(t *testing.T, table *Table, request Fingerprint, now clock.Millis, held bool) {
 	t.Helper()
-	if v := table.Verdict(request, now); (v.Left > 0) != held {
+	if v := table.Verdict(request, now); (v.HeldFor > 0) != held {
 		t.Errorf("%s: %+v, want held %v", request, v, held)
 	}
 }
@@ -83,14 +83,14 @@
 		table := NewTable()
 		ended(table, harmful, 1, 2, 3)
 		ended(table, innocent, 1, 2, 3)
-		wantHeld(t, table, harmful, doubtTerm-1, true)
-		wantHeld(t, table, innocent, doubtTerm-1, true)
-		wantHeld(t, table, harmful, doubtTerm, false)
-		wantHeld(t, table, innocent, doubtTerm, false)
-		table.Ended(End{Request: harmful, Server: life(4)}, true, doubtTerm)
-		wantHeld(t, table, harmful, doubtTerm, true)
-		wantHeld(t, table, harmful, 2*doubtTerm, true)
-		wantHeld(t, table, innocent, doubtTerm, false)
+		wantHeld(t, table, harmful, ambiguousHoldDuration-1, true)
+		wantHeld(t, table, innocent, ambiguousHoldDuration-1, true)
+		wantHeld(t, table, harmful, ambiguousHoldDuration, false)
+		wantHeld(t, table, innocent, ambiguousHoldDuration, false)
+		table.Ended(End{Request: harmful, Server: serverName(4)}, true, ambiguousHoldDuration)
+		wantHeld(t, table, harmful, ambiguousHoldDuration, true)
+		wantHeld(t, table, harmful, 2*ambiguousHoldDuration, true)
+		wantHeld(t, table, innocent, ambiguousHoldDuration, false)
 	})
 }
 
@@ -98,20 +98,20 @@
 	t.Run("a hold ends, and one more end renews it", func(t *testing.T) {
 		table := NewTable()
 		ended(table, harmful, 1, 2, 3)
-		wantHeld(t, table, harmful, holdTerm-1, true)
-		wantHeld(t, table, harmful, holdTerm, false)
-		table.Ended(End{Request: harmful, Server: life(4)}, true, holdTerm)
-		wantHeld(t, table, harmful, holdTerm, true)
+		wantHeld(t, table, harmful, holdDuration-1, true)
+		wantHeld(t, table, harmful, holdDuration, false)
+		table.Ended(End{Request: harmful, Server: serverName(4)}, true, holdDuration)
+		wantHeld(t, table, harmful, holdDuration, true)
 	})
 	t.Run("what is too old is forgotten", func(t *testing.T) {
 		table := NewTable()
 		ended(table, innocent, 1)
 		ended(table, harmful, 1, 2, 3)
-		table.Forget(suspectTerm + 1)
+		table.Forget(suspectRetention + 1)
 		if table.Suspected(innocent) || !table.Suspected(harmful) {
 			t.Error("want one end forgotten, and a hold remembered")
 		}
-		table.Forget(holdTerm + suspectTerm + 1)
+		table.Forget(holdDuration + suspectRetention + 1)
 		if !table.Empty() {
 			t.Error("the hold is not forgotten")
 		}
@@ -119,20 +119,20 @@
 	t.Run("a hold that the log is about to forget is renewed once", func(t *testing.T) {
 		table := NewTable()
 		ended(table, harmful, 1, 2, 3)
-		if n := len(table.Renew(renewTerm-1, 0)); n != 0 {
+		if n := len(table.DueForRenewal(renewalPeriod-1, 0)); n != 0 {
 			t.Errorf("%d ends renewed early", n)
 		}
-		ends := table.Renew(renewTerm, 0)
+		ends := table.DueForRenewal(renewalPeriod, 0)
 		if len(ends) != Threshold {
 			t.Errorf("%d ends renewed, want all", len(ends))
 		}
 		for _, e := range ends {
-			table.Ended(e, true, renewTerm)
+			table.Ended(e, true, renewalPeriod)
 		}
-		if n := len(table.Renew(renewTerm, 0)); n != 0 {
+		if n := len(table.DueForRenewal(renewalPeriod, 0)); n != 0 {
 			t.Errorf("%d ends renewed again", n)
 		}
-		wantHeld(t, table, harmful, holdTerm, false)
+		wantHeld(t, table, harmful, holdDuration, false)
 	})
 }
 
@@ -141,7 +141,7 @@
 	ended(table, harmful, 1, 2, 3)
 	const many = 100_000
 	for n := range many {
-		table.Ended(End{Request: Fingerprint(fmt.Sprint(n)), Server: life(n)}, true, clock.Millis(n))
+		table.Ended(End{Request: Fingerprint(fmt.Sprint(n)), Server: serverName(n)}, true, clock.Millis(n))
 	}
 	if n := len(table.suspects); n > mostSuspects {
 		t.Errorf("%d requests remembered, want %d at most", n, mostSuspects)
@@ -150,8 +150,8 @@
 	for n := range many {
 		ended(table, harmful, n)
 	}
-	if n := len(table.suspects[harmful].ends); n > mostEnds {
-		t.Errorf("%d ends of one request remembered, want %d at most", n, mostEnds)
+	if n := len(table.suspects[harmful].ends); n > maxEnds {
+		t.Errorf("%d ends of one request remembered, want %d at most", n, maxEnds)
 	}
 }
 
@@ -161,7 +161,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var ends []End
 		for _, n := range rapid.SliceOfN(rapid.IntRange(0, 19), 0, 30).Draw(t, "ends") {
-			ends = append(ends, End{Request: Fingerprint(fmt.Sprint("r", n%4)), Server: life(n / 4)})
+			ends = append(ends, End{Request: Fingerprint(fmt.Sprint("r", n%4)), Server: serverName(n / 4)})
 		}
 		again := rapid.Permutation(append(slices.Clone(ends), ends...)).Draw(t, "again")
 		one, other := NewTable(), NewTable()
@@ -226,12 +226,12 @@
 func BenchmarkEnded(b *testing.B) {
 	table := NewTable()
 	for n := range mostSuspects {
-		table.Ended(End{Request: Fingerprint(fmt.Sprint(n)), Server: life(n)}, true, 0)
+		table.Ended(End{Request: Fingerprint(fmt.Sprint(n)), Server: serverName(n)}, true, 0)
 	}
 	for n := range 3 {
 		ended(table, Fingerprint(fmt.Sprint("held", n)), 1, 2, 3, 4)
 	}
-	server := life(1)
+	server := serverName(1)
 	for n := 0; b.Loop(); n++ {
 		table.Ended(End{Request: Fingerprint(fmt.Sprint("new", n)), Server: server}, true, 0)
 	}
