--- a/kernel/poison/print.go
+++ b/kernel/poison/print.go
@@ -1,6 +1,6 @@
-// Package poison finds the requests that end the servers that run them, from what
-// instances tell of servers that ended and of servers that answered. It is pure: it
-// neither sends nor waits.
+// Package poison detects requests that crash the servers that run them. Its input is
+// records of servers that ended and of servers that answered; it does no I/O and starts no
+// goroutines.
 package poison
 
 import (
@@ -11,18 +11,18 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Fingerprint is the same for requests that ask for the same: ids differ each time a
-// caller sends one again, whoever takes it.
+// Fingerprint identifies requests with equal content, in hex. Request ids do not serve,
+// because each retry by a caller gets a new one.
 type Fingerprint string
 
-// fingerprintBytes is how much of the hash is kept: 128 bits, so that no caller finds a
-// request with the fingerprint of another one.
+// fingerprintBytes is the length of the truncated hash; 128 bits make it infeasible to
+// construct a request with a given fingerprint.
 const fingerprintBytes = 16
 
-// Subject is what a request asks for, and for whom.
+// Subject is the content of a request and its owner, from which the fingerprint is made.
 type Subject struct {
-	// Organisation is whose request it is; empty if nobody's. Requests of different
-	// organisations never share a fingerprint, so that none can shut out another's.
+	// Organisation owns the request; it may be empty. It is part of the fingerprint so
+	// that no organisation can get another's requests held.
 	Organisation ident.Organisation
 	Host         string
 	Method       string
@@ -30,11 +30,11 @@
 	Body         []byte
 }
 
-// Fingerprint returns the subject's fingerprint.
+// Fingerprint returns the truncated SHA-256 hash of the subject in hex.
 func (s Subject) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{string(s.Organisation), s.Host, s.Method, s.Target} {
-		// The length before each part keeps "ab","c" apart from "a","bc".
+		// The length prefix makes "ab","c" differ from "a","bc".
 		_, _ = hash.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part))))
 		_, _ = hash.Write([]byte(part))
 	}
--- a/kernel/poison/print_test.go
+++ b/kernel/poison/print_test.go
@@ -7,7 +7,7 @@
 	wantSame := func(t *testing.T, other Subject, same bool) {
 		t.Helper()
 		if got := subject.Fingerprint() == other.Fingerprint(); got != same {
-			t.Errorf("same is %v, want %v", got, same)
+			t.Errorf("fingerprints equal: %v, want %v", got, same)
 		}
 	}
 	t.Run("what asks for the same has it", func(t *testing.T) { wantSame(t, subject, true) })
--- a/kernel/poison/record.go
+++ b/kernel/poison/record.go
@@ -10,13 +10,13 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// Invalid means that a record can't be read.
+// Invalid means that a record cannot be encoded or decoded.
 const Invalid Kind = "Invalid"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Answer tells that a server answered a request under which others had ended.
+// Answer records that a server answered a suspected request.
 type Answer struct {
 	Request Fingerprint
 }
@@ -26,7 +26,7 @@
 	wire() recordWire
 }
 
-// recordWire is a record as instances write it for each other.
+// recordWire is the JSON form of a record in the log that instances share.
 type recordWire struct {
 	Kind    string
 	Request string
@@ -36,7 +36,7 @@
 const (
 	endKind    = "End"
 	answerKind = "Answer"
-	// maxNameBytes bounds the name of a server in a record, in bytes.
+	// maxNameBytes is the maximum length of a server's name in a record.
 	maxNameBytes = 255
 )
 
@@ -48,7 +48,7 @@
 	return recordWire{Kind: answerKind, Request: string(a.Request)}
 }
 
-// Encode returns a record's bytes.
+// Encode returns the JSON form of a record.
 func Encode(r Record) ([]byte, error) {
 	data, err := json.Marshal(r.wire())
 	if err != nil {
@@ -57,20 +57,20 @@
 	return data, nil
 }
 
-// Decode reads a record. It returns nil without an error for kinds that a later
-// program writes.
+// Decode parses a record. It returns nil and no error for unknown kinds, which a newer
+// version may write.
 func Decode(data []byte) (Record, error) {
 	var w recordWire
 	if err := json.Unmarshal(data, &w); err != nil {
-		return nil, fault.Wrap("poison.Decode", Invalid, err, "not a record")
+		return nil, fault.Wrap("poison.Decode", Invalid, err, "record is not valid JSON")
 	}
 	if len(w.Request) != 2*fingerprintBytes {
-		return nil, fault.New("poison.Decode", Invalid, "the record names no request")
+		return nil, fault.New("poison.Decode", Invalid, "record has no valid request fingerprint")
 	}
 	switch w.Kind {
 	case endKind:
 		if w.Server == "" || len(w.Server) > maxNameBytes {
-			return nil, fault.New("poison.Decode", Invalid, "the record of an end names no server")
+			return nil, fault.New("poison.Decode", Invalid, "record of an end has no server name or one that is too long")
 		}
 		return End{Request: Fingerprint(w.Request), Server: ident.BackendName(w.Server)}, nil
 	case answerKind:
--- a/kernel/poison/table.go
+++ b/kernel/poison/table.go
@@ -10,122 +10,123 @@
 )
 
 const (
-	// Threshold is how many servers must have ended under a request, without another
-	// request to explain it, until it is held. One end tells nothing, since servers end
-	// for themselves and by their operators; that two do so under a request which comes again at once
-	// happens when a zone is lost; three cost a service of four servers nearly all of it.
+	// Threshold is the number of servers that must end while running a request, with no
+	// other held request to explain it, before the request is held. Servers also end for
+	// unrelated reasons, and the loss of a zone can end two that ran the same request.
 	Threshold = 3
-	// holdDuration is how long a held request goes to no server after the last one that ended
-	// under it: long enough that a request which comes each second costs a server each ten
-	// minutes, short enough that one which a new release of the service runs well is
-	// served again the same hour.
+	// holdDuration is how long a request is held after the last server ended while
+	// running it. It limits the servers that a repeated request can end, but lets the
+	// request run again soon after the service is fixed.
 	holdDuration = 10 * 60 * clock.Second
-	// ambiguousHoldDuration is the same while another request was there each time as well: only one
-	// of the two did it, and the next run tells which. It is longer than a server takes
-	// to start again, 2 to 3 s, so that an innocent request finds one to prove itself.
+	// ambiguousHoldDuration is the hold time while another request explains the same
+	// ends, until a later run shows which one is the cause. It must exceed a server's
+	// restart time so that the innocent request finds a server that answers it.
 	ambiguousHoldDuration = 5 * clock.Second
-	// suspectRetention is how long ends are remembered that are too few to hold a request.
+	// suspectRetention is how long ends are kept after the last one, in addition to
+	// holdDuration for held requests.
 	suspectRetention = 5 * 60 * clock.Second
-	// renewalPeriod is how long after the log last told of a held request it is told again,
-	// well within the 300 s that the log keeps records, so that instances which start
-	// later know of it.
+	// renewalPeriod is how long after the last publication the ends of a held request are
+	// published again. It must be well below the log's retention of 300 s so that
+	// instances that start later read them.
 	renewalPeriod = 100 * clock.Second
-	// mostSuspects bounds the requests that are remembered, and mostEnds the ends of
-	// each: some 100 bytes an end, 6 MB at most (reckoned). The oldest that are not held give way.
-	mostSuspects = 4096
+	// maxSuspects bounds the number of requests in a table, and maxEnds the ends and
+	// excused ends of each. The oldest request that is not held is evicted first.
+	maxSuspects = 4096
 	maxEnds     = 16
 )
 
-// End is a server that ended while it ran a request.
+// End records that a server process ended while it ran a request.
 type End struct {
 	Request Fingerprint
 	Server  ident.BackendName
 }
 
-// Verdict is what is known of a request.
+// Verdict is the state of a request.
 type Verdict struct {
-	// HeldFor is for how long it goes to no server; 0 if it may.
+	// HeldFor is how much longer the request must not go to a server; 0 if it may go.
 	HeldFor clock.Millis
-	// Ends is how many servers have ended under it, and Age how long ago the last one was
-	// heard of.
-	Ends int
-	SinceLastEnd  clock.Millis
-	// Ambiguous tells that another request was there each time as well.
+	// Ends is the number of servers that ended while running the request, without the
+	// excused ones. SinceLastEnd is the time since the last of them was noted.
+	Ends         int
+	SinceLastEnd clock.Millis
+	// Ambiguous reports whether another request explains the same number of ends and
+	// shares one of them.
 	Ambiguous bool
 }
 
-// Table is what one reader knows of requests under which servers ended. It has no lock
-// of its own. It is a function of what was noted, in whatever order and however often:
-// an end that was noted before an answer stays answered.
+// Table holds the suspected requests known to one instance. It is not safe for concurrent
+// use. The held requests do not depend on the order of the noted ends or on duplicates; an
+// end that was noted before an answer stays excused if it is noted again.
 type Table struct {
 	suspects map[Fingerprint]*suspect
-	// order has the suspects by when they were first heard of, so that the oldest is found
-	// without looking at all.
-	order []Fingerprint
-	// many are those with ends enough to be held, and held those that are, worked out anew
-	// after each change of many.
-	many map[Fingerprint]*suspect
-	held map[Fingerprint]hold
+	// oldestFirst lists the suspects in the order of their first end, for eviction.
+	oldestFirst []Fingerprint
+	// overThreshold holds the suspects with at least Threshold ends. held is the subset
+	// that is held, recomputed by updateHeld after each change to overThreshold.
+	overThreshold map[Fingerprint]*suspect
+	held          map[Fingerprint]hold
 }
 
-// suspect is a request under which servers ended. Ends that happened before a server
-// answered it are excused: it was not the cause.
+// suspect is a request that was running when servers ended. An answer excuses all ends
+// before it, because the request was not their cause.
 type suspect struct {
 	ends    map[ident.BackendName]bool
 	excused map[ident.BackendName]bool
-	last    clock.Millis
-	// told is when the log last told of it.
-	told clock.Millis
+	// lastEnd is when the last new end was noted.
+	lastEnd clock.Millis
+	// publishedAt is when an end of the request was last read from the log.
+	publishedAt clock.Millis
 }
 
+// hold describes a held request; ambiguous is as in Verdict.
 type hold struct {
-	doubt bool
+	ambiguous bool
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{suspects: map[Fingerprint]*suspect{}, many: map[Fingerprint]*suspect{}, held: map[Fingerprint]hold{}}
+	return &Table{suspects: map[Fingerprint]*suspect{}, overThreshold: map[Fingerprint]*suspect{}, held: map[Fingerprint]hold{}}
 }
 
-// Empty tells that no request is suspected, so that none needs to be looked up.
+// Empty reports whether the table has no requests.
 func (t *Table) Empty() bool { return len(t.suspects) == 0 }
 
-// Suspected tells whether servers have ended under a request that no server has
-// answered since.
+// Suspected reports whether a server ended while running the request, and none has
+// answered it since.
 func (t *Table) Suspected(request Fingerprint) bool {
 	s := t.suspects[request]
 	return s != nil && len(s.ends) > 0
 }
 
-// Ended notes an end. Told tells that the log told of it, so that the others know.
-// It reports whether that was news.
-func (t *Table) Ended(e End, told bool, now clock.Millis) bool {
+// Ended notes an end and reports whether it is new. published is true if the end was read
+// from the log, where all instances see it.
+func (t *Table) Ended(e End, published bool, now clock.Millis) bool {
 	s := t.suspects[e.Request]
 	if s == nil {
-		t.makeRoom()
+		t.evict()
 		s = &suspect{ends: map[ident.BackendName]bool{}, excused: map[ident.BackendName]bool{}}
 		t.suspects[e.Request] = s
-		t.order = append(t.order, e.Request)
+		t.oldestFirst = append(t.oldestFirst, e.Request)
 	}
-	if told {
-		s.told = now
+	if published {
+		s.publishedAt = now
 	}
 	if s.ends[e.Server] || s.excused[e.Server] {
 		return false
 	}
-	s.last = now
+	s.lastEnd = now
 	if len(s.ends) < maxEnds {
 		s.ends[e.Server] = true
 	}
 	if len(s.ends) >= Threshold {
-		t.many[e.Request] = s
-		t.judge()
+		t.overThreshold[e.Request] = s
+		t.updateHeld()
 	}
 	return true
 }
 
-// Answered notes that a server answered a request: whatever ended servers before, it
-// was not this request, which ends each one that runs it.
+// Answered notes that a server answered a request. It excuses all ends so far, because a
+// harmful request is assumed to end every server that runs it.
 func (t *Table) Answered(request Fingerprint) {
 	s := t.suspects[request]
 	if s == nil || len(s.ends) == 0 {
@@ -137,34 +138,35 @@
 		}
 	}
 	clear(s.ends)
-	if t.many[request] != nil {
-		delete(t.many, request)
-		t.judge()
+	if t.overThreshold[request] != nil {
+		delete(t.overThreshold, request)
+		t.updateHeld()
 	}
 }
 
-// Verdict returns what is known of a request.
+// Verdict returns the state of a request at the given time.
 func (t *Table) Verdict(request Fingerprint, now clock.Millis) Verdict {
 	s := t.suspects[request]
 	if s == nil {
 		return Verdict{}
 	}
-	v := Verdict{Ends: len(s.ends), SinceLastEnd: now - s.last}
+	v := Verdict{Ends: len(s.ends), SinceLastEnd: now - s.lastEnd}
 	if h, held := t.held[request]; held {
-		v.Ambiguous = h.doubt
-		v.HeldFor = max(h.term()-v.SinceLastEnd, 0)
+		v.Ambiguous = h.ambiguous
+		v.HeldFor = max(h.duration()-v.SinceLastEnd, 0)
 	}
 	return v
 }
 
-func (h hold) term() clock.Millis {
-	if h.doubt {
+// duration returns how long the hold lasts after the last end.
+func (h hold) duration() clock.Millis {
+	if h.ambiguous {
 		return ambiguousHoldDuration
 	}
 	return holdDuration
 }
 
-// CountHeld returns how many requests go to no server.
+// CountHeld returns the number of requests that are held at the given time.
 func (t *Table) CountHeld(now clock.Millis) int {
 	n := 0
 	for request := range t.held {
@@ -175,29 +177,30 @@
 	return n
 }
 
-// Forget drops what is too old to matter.
+// Forget removes the requests whose last end is older than their retention time.
 func (t *Table) Forget(now clock.Millis) {
 	for request, s := range t.suspects {
-		term := suspectRetention
+		retention := suspectRetention
 		if _, held := t.held[request]; held {
-			term = holdDuration + suspectRetention
+			retention = holdDuration + suspectRetention
 		}
-		if now-s.last > term {
+		if now-s.lastEnd > retention {
 			delete(t.suspects, request)
-			delete(t.many, request)
+			delete(t.overThreshold, request)
 		}
 	}
-	t.order = slices.DeleteFunc(t.order, func(request Fingerprint) bool { return t.suspects[request] == nil })
-	t.judge()
+	t.oldestFirst = slices.DeleteFunc(t.oldestFirst, func(request Fingerprint) bool { return t.suspects[request] == nil })
+	t.updateHeld()
 }
 
-// DueForRenewal returns the ends of the held requests that the log has not told of for a
-// while; late puts it off, so that not all instances do it at once.
-func (t *Table) DueForRenewal(now, late clock.Millis) []End {
+// DueForRenewal returns the ends of the held requests that were last published more than
+// renewalPeriod and delay ago, sorted. A different delay for each instance keeps them
+// from all publishing at once.
+func (t *Table) DueForRenewal(now, delay clock.Millis) []End {
 	var ends []End
 	for request := range t.held {
 		s := t.suspects[request]
-		if now-s.told < renewalPeriod+late || t.Verdict(request, now).HeldFor == 0 {
+		if now-s.publishedAt < renewalPeriod+delay || t.Verdict(request, now).HeldFor == 0 {
 			continue
 		}
 		for server := range s.ends {
@@ -210,52 +213,52 @@
 	return ends
 }
 
-// makeRoom drops the request that was first heard of, held ones last, if there are too
-// many.
-func (t *Table) makeRoom() {
-	for passed := 0; len(t.suspects) >= mostSuspects; passed++ {
-		first := t.order[0]
-		t.order = t.order[1:]
-		if _, held := t.held[first]; held && passed < mostSuspects {
-			t.order = append(t.order, first)
+// evict removes the oldest requests until the table is below maxSuspects. It removes held
+// requests only if all are held.
+func (t *Table) evict() {
+	for inspected := 0; len(t.suspects) >= maxSuspects; inspected++ {
+		oldest := t.oldestFirst[0]
+		t.oldestFirst = t.oldestFirst[1:]
+		if _, held := t.held[oldest]; held && inspected < maxSuspects {
+			t.oldestFirst = append(t.oldestFirst, oldest)
 			continue
 		}
-		delete(t.suspects, first)
-		delete(t.many, first)
+		delete(t.suspects, oldest)
+		delete(t.overThreshold, oldest)
 	}
 }
 
-// judge works out which requests are held: those that explain the most ends first.
-// What ran beside one that is held is not blamed for the same ends: the servers run
-// eight to twelve requests at once, and all of them lose their answers.
-func (t *Table) judge() {
+// updateHeld recomputes which requests are held. A server that ends loses all requests
+// that it runs, so updateHeld first holds the requests that explain the most ends, and
+// then counts only unexplained ends for the others.
+func (t *Table) updateHeld() {
 	clear(t.held)
-	open := slices.Collect(maps.Keys(t.many))
+	undecided := slices.Collect(maps.Keys(t.overThreshold))
 	explained := map[ident.BackendName]bool{}
-	for len(open) > 0 {
-		most, left := 0, map[Fingerprint]int{}
-		for _, request := range open {
-			left[request] = t.unexplained(request, explained)
-			most = max(most, left[request])
+	for len(undecided) > 0 {
+		highest, unexplained := 0, map[Fingerprint]int{}
+		for _, request := range undecided {
+			unexplained[request] = t.unexplained(request, explained)
+			highest = max(highest, unexplained[request])
 		}
-		if most < Threshold {
+		if highest < Threshold {
 			return
 		}
-		open = slices.DeleteFunc(open, func(request Fingerprint) bool { return left[request] < Threshold })
-		first := slices.DeleteFunc(slices.Clone(open), func(request Fingerprint) bool { return left[request] < most })
-		for _, request := range first {
-			t.held[request] = hold{doubt: t.shares(request, first, explained)}
+		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplained[request] < Threshold })
+		top := slices.DeleteFunc(slices.Clone(undecided), func(request Fingerprint) bool { return unexplained[request] < highest })
+		for _, request := range top {
+			t.held[request] = hold{ambiguous: t.overlaps(request, top, explained)}
 		}
-		for _, request := range first {
+		for _, request := range top {
 			for server := range t.suspects[request].ends {
 				explained[server] = true
 			}
 		}
-		open = slices.DeleteFunc(open, func(request Fingerprint) bool { return left[request] == most })
+		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplained[request] == highest })
 	}
 }
 
-// unexplained counts the ends of a request that no held one explains.
+// unexplained returns the number of the request's ends that no held request explains.
 func (t *Table) unexplained(request Fingerprint, explained map[ident.BackendName]bool) int {
 	n := 0
 	for server := range t.suspects[request].ends {
@@ -266,8 +269,9 @@
 	return n
 }
 
-// shares tells whether another request that explains as much was at one of the ends.
-func (t *Table) shares(request Fingerprint, others []Fingerprint, explained map[ident.BackendName]bool) bool {
+// overlaps reports whether one of others, which explain as many ends as request, shares an
+// unexplained end with it.
+func (t *Table) overlaps(request Fingerprint, others []Fingerprint, explained map[ident.BackendName]bool) bool {
 	return slices.ContainsFunc(others, func(other Fingerprint) bool {
 		if other == request {
 			return false
--- a/kernel/poison/table_test.go
+++ b/kernel/poison/table_test.go
@@ -14,7 +14,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// CI draws the same ends every time; elsewhere each run draws others.
+// CI uses a fixed seed; other runs draw a new one.
 func init() {
 	if os.Getenv("CI") != "" {
 		_ = flag.Set("rapid.seed", "20261203")
@@ -28,7 +28,7 @@
 
 func serverName(n int) ident.BackendName { return ident.NewBackend(fmt.Sprintf("s%d", n), 1) }
 
-// ended notes that servers ended under a request.
+// ended notes the ends of numbered servers for a request.
 func ended(t *Table, request Fingerprint, servers ...int) {
 	for _, n := range servers {
 		t.Ended(End{Request: request, Server: serverName(n)}, true, 0)
@@ -109,28 +109,28 @@
 		ended(table, harmful, 1, 2, 3)
 		table.Forget(suspectRetention + 1)
 		if table.Suspected(innocent) || !table.Suspected(harmful) {
-			t.Error("want one end forgotten, and a hold remembered")
+			t.Error("want the request with one end forgotten, and the held one kept")
 		}
 		table.Forget(holdDuration + suspectRetention + 1)
 		if !table.Empty() {
-			t.Error("the hold is not forgotten")
+			t.Error("the held request was not forgotten")
 		}
 	})
 	t.Run("a hold that the log is about to forget is renewed once", func(t *testing.T) {
 		table := NewTable()
 		ended(table, harmful, 1, 2, 3)
 		if n := len(table.DueForRenewal(renewalPeriod-1, 0)); n != 0 {
-			t.Errorf("%d ends renewed early", n)
+			t.Errorf("%d ends due for renewal before renewalPeriod", n)
 		}
 		ends := table.DueForRenewal(renewalPeriod, 0)
 		if len(ends) != Threshold {
-			t.Errorf("%d ends renewed, want all", len(ends))
+			t.Errorf("%d ends due for renewal, want all", len(ends))
 		}
 		for _, e := range ends {
 			table.Ended(e, true, renewalPeriod)
 		}
 		if n := len(table.DueForRenewal(renewalPeriod, 0)); n != 0 {
-			t.Errorf("%d ends renewed again", n)
+			t.Errorf("%d ends due for renewal right after they were published", n)
 		}
 		wantHeld(t, table, harmful, holdDuration, false)
 	})
@@ -143,20 +143,20 @@
 	for n := range many {
 		table.Ended(End{Request: Fingerprint(fmt.Sprint(n)), Server: serverName(n)}, true, clock.Millis(n))
 	}
-	if n := len(table.suspects); n > mostSuspects {
-		t.Errorf("%d requests remembered, want %d at most", n, mostSuspects)
+	if n := len(table.suspects); n > maxSuspects {
+		t.Errorf("%d requests in the table, want %d at most", n, maxSuspects)
 	}
 	wantHeld(t, table, harmful, many, true)
 	for n := range many {
 		ended(table, harmful, n)
 	}
 	if n := len(table.suspects[harmful].ends); n > maxEnds {
-		t.Errorf("%d ends of one request remembered, want %d at most", n, maxEnds)
+		t.Errorf("%d ends of one request in the table, want %d at most", n, maxEnds)
 	}
 }
 
-// TestOnceForAll: readers that learn the same ends in different order, some of them
-// twice, come to the same verdicts.
+// TestOnceForAll checks that tables which learn the same ends in different orders, with
+// duplicates, hold the same requests.
 func TestOnceForAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ends []End
@@ -172,7 +172,7 @@
 			other.Ended(e, false, 0)
 		}
 		if !maps.Equal(one.held, other.held) {
-			t.Fatalf("%v and %v", one.held, other.held)
+			t.Fatalf("held %v in order of the ends, %v shuffled with duplicates", one.held, other.held)
 		}
 		for request := range one.held {
 			if len(one.suspects[request].ends) < Threshold {
@@ -198,11 +198,11 @@
 		fmt.Sprintf(`{"Kind":"End","Request":%q,"Server":7}`, request), "\xff\xfe",
 	} {
 		if r, err := Decode([]byte(text)); err == nil {
-			t.Errorf("%q was read as %v", text, r)
+			t.Errorf("%q was decoded as %v, want an error", text, r)
 		}
 	}
 	if r, err := Decode([]byte(fmt.Sprintf(`{"Kind":"Later","Request":%q}`, request))); r != nil || err != nil {
-		t.Errorf("a later program's record: %v, %v, want nothing", r, err)
+		t.Errorf("record of unknown kind: %v, %v, want nil without an error", r, err)
 	}
 }
 
@@ -219,13 +219,11 @@
 	})
 }
 
-// BenchmarkEnded: an end of a request that is new while 4,096 are suspected, three of
-// them held, as after the loss of a zone: 163 microseconds when each looked through all
-// of them for the oldest and for those to be held, 0.7 with the order and the few that may be
-// held kept apart.
+// BenchmarkEnded notes the end of a new request in a full table with three held requests,
+// as after the loss of an availability zone.
 func BenchmarkEnded(b *testing.B) {
 	table := NewTable()
-	for n := range mostSuspects {
+	for n := range maxSuspects {
 		table.Ended(End{Request: Fingerprint(fmt.Sprint(n)), Server: serverName(n)}, true, 0)
 	}
 	for n := range 3 {
--- a/kernel/poison/ways_test.go
+++ b/kernel/poison/ways_test.go
@@ -9,18 +9,18 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// detector is a way to tell which requests go to no server.
+// detector decides which requests are held; each type is one detection method.
 type detector interface {
 	ended(request Fingerprint, server ident.BackendName, now clock.Millis)
 	answered(request Fingerprint)
 	held(request Fingerprint, now clock.Millis) bool
 }
 
-// counting holds what so many servers ended under, whatever else was there or came
-// after. Excusing is the same, but an answer clears.
+// counting holds a request once threshold servers ended while running it, regardless of
+// other requests there. If clearedByAnswer is set, an answer resets the count.
 type counting struct {
-	ends     map[Fingerprint]map[ident.BackendName]bool
-	threshold     int
+	ends            map[Fingerprint]map[ident.BackendName]bool
+	threshold       int
 	clearedByAnswer bool
 }
 
@@ -41,7 +41,7 @@
 	return len(c.ends[request]) >= c.threshold
 }
 
-// tableDetector is the table.
+// tableDetector is the method under test, a Table.
 type tableDetector struct{ table *Table }
 
 func (e tableDetector) ended(request Fingerprint, server ident.BackendName, now clock.Millis) {
@@ -52,41 +52,42 @@
 	return e.table.Verdict(request, now).HeldFor > 0
 }
 
-// outcome is what a way made of a load.
+// outcome is the result of a simulation.
 type outcome struct {
-	// crashes is how many servers the harmful request ended, refused how many of the
-	// innocent calls went to no server, innocentCalls how many there were.
+	// crashes is the number of servers that the harmful request ended, innocentCalls
+	// the number of innocent calls, and refused how many attempts at them were held.
 	crashes, refused, innocentCalls int
 }
 
 const (
 	loadStep = 20 * clock.Millis(1)
 	loadSpan = 60 * clock.Second
-	// restartTime is how long a server is away that ended.
+	// restartTime is how long a server is down after it ended.
 	restartTime = 2500 * clock.Millis(1)
 )
 
-// workload is what servers are given.
+// workload describes the requests and servers of a simulation.
 type workload struct {
 	servers int
 	// span is how long a request runs; the harmful one ends its server after crashAfter.
 	span, crashAfter clock.Millis
-	// popular requests come in each step, others come once, each so many steps.
+	// popular makes the same innocent request arrive in every simulation step. A request
+	// with a new fingerprint arrives every period steps.
 	popular bool
-	period   int
-	// maxTries is how often a request that was lost goes to one more server.
+	period  int
+	// maxTries is how often a request runs at most; it is retried if its server ends.
 	maxTries int
 }
 
-// calls are a popular request that is sent fifty times a second, and others that come
-// once and are tried four times: two attempts of a caller at two servers each.
+// calls models synchronous calls: one popular request and many that occur once, each with
+// up to four tries.
 var calls = workload{servers: 6, span: 80, crashAfter: 80, popular: true, period: 1, maxTries: 4}
 
-// items run for 6 s, some ten at each engine, and are given to the next engine for as long
-// as their job is open.
+// items models job items: they run longer, about ten at each engine, and are retried
+// without limit.
 var items = workload{servers: 11, span: 6 * clock.Second, crashAfter: 300, period: 3, maxTries: 1 << 30}
 
-// running is a request that runs at a server.
+// running is a request in progress at a server.
 type running struct {
 	request Fingerprint
 	server  int
@@ -94,14 +95,14 @@
 	tries   int
 }
 
-// simulation is servers under work, with a harmful request each two seconds, sent twice, which
-// ends its server with all that runs there. Servers also end for themselves.
+// simulation runs a workload. Every two seconds it sends the harmful request twice, which
+// ends its server and loses all requests there. Servers also end at random.
 type simulation struct {
 	workload
-	detector    detector
-	random *rand.Rand
-	now    clock.Millis
-	// up is from when each server runs, starts counts its starts.
+	detector detector
+	random   *rand.Rand
+	now      clock.Millis
+	// up is when each server is available again; starts counts its restarts.
 	up     []clock.Millis
 	starts []int
 	runs   []running
@@ -118,7 +119,7 @@
 	return l.fate
 }
 
-// send begins what comes in a step.
+// send starts the requests that arrive in a step.
 func (l *simulation) send(step int) {
 	if l.popular {
 		l.fate.innocentCalls++
@@ -134,7 +135,7 @@
 	}
 }
 
-// start runs a request at a server that is up, unless it is held.
+// start runs a request at a random server that is up, unless the request is held.
 func (l *simulation) start(request Fingerprint, tries int) {
 	if l.detector.held(request, l.now) {
 		if request != harmful {
@@ -169,8 +170,8 @@
 	return ends
 }
 
-// finish takes down the servers that finish, tells the way of what was lost and answered, and
-// sends again what was lost.
+// finish restarts the crashed servers, reports lost and answered requests to the detector,
+// and retries the lost ones.
 func (l *simulation) finish(ends map[int]bool) {
 	var lost, going []running
 	for _, r := range l.runs {
@@ -196,8 +197,8 @@
 	}
 }
 
-// TestWays compares ways to tell which request ends servers, on the same loads. Both errors
-// count: servers lost to the harmful request, and others' calls that are refused.
+// TestWays compares detection methods on the same simulations. It bounds both errors: servers
+// lost to the harmful request, and innocent calls that are refused.
 func TestWays(t *testing.T) {
 	const loads = 40
 	for name, w := range map[string]workload{"calls": calls, "items": items} {
@@ -215,7 +216,9 @@
 		"two ends without an answer": func() detector {
 			return &counting{ends: map[Fingerprint]map[ident.BackendName]bool{}, threshold: 2, clearedByAnswer: true}
 		},
-		"never": func() detector { return &counting{ends: map[Fingerprint]map[ident.BackendName]bool{}, threshold: 1 << 30} },
+		"never": func() detector {
+			return &counting{ends: map[Fingerprint]map[ident.BackendName]bool{}, threshold: 1 << 30}
+		},
 		"table": func() detector { return tableDetector{table: NewTable()} },
 	}
 	sums := map[string]outcome{}
@@ -228,16 +231,16 @@
 			sum.innocentCalls += f.innocentCalls
 		}
 		sums[name] = sum
-		t.Logf("%-30s servers ended %.1f a load, innocent calls refused %d of %d", name, float64(sum.crashes)/float64(loads), sum.refused, sum.innocentCalls)
+		t.Logf("%-30s servers ended %.1f per simulation, innocent calls refused %d of %d", name, float64(sum.crashes)/float64(loads), sum.refused, sum.innocentCalls)
 	}
 	table := sums["table"]
 	if table.crashes > loads*(Threshold+2) {
-		t.Errorf("the harmful request ended %d servers in %d loads, want %d a load at most", table.crashes, loads, Threshold+2)
+		t.Errorf("the harmful request ended %d servers in %d simulations, want at most %d per simulation", table.crashes, loads, Threshold+2)
 	}
 	if table.refused*1000 > table.innocentCalls {
-		t.Errorf("%d of %d innocent calls were refused, want one in a thousand at most", table.refused, table.innocentCalls)
+		t.Errorf("%d of %d innocent calls were refused, want at most one in a thousand", table.refused, table.innocentCalls)
 	}
 	if plain := sums["three ends"]; table.refused > plain.refused {
-		t.Errorf("%d innocent calls were refused, %d by plain counting", table.refused, plain.refused)
+		t.Errorf("%d innocent calls were refused, want at most the %d of plain counting", table.refused, plain.refused)
 	}
 }
