--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -128,7 +128,7 @@
 	table := r.Routes()
 	policy, err := place.Policies.New(place.Longest)
 	// While the ledger can't be reached nobody would learn that the item waits.
-	if table == nil || err != nil || !r.Without.On(toggle.Moves) || !r.Ledger.Fresh() {
+	if table == nil || err != nil || !r.Without.Enabled(toggle.Moves) || !r.Ledger.Fresh() {
 		return false
 	}
 	other := 0.0
--- a/croftmoor/batch/progress.go
+++ b/croftmoor/batch/progress.go
@@ -66,7 +66,7 @@
 	now := p.runner.Clock.Mono()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.runner.Without.On(toggle.Progress) || p.keeping || now-p.last < keepPeriod || len(p.fresh) < keepEvents {
+	if !p.runner.Without.Enabled(toggle.Progress) || p.keeping || now-p.last < keepPeriod || len(p.fresh) < keepEvents {
 		return
 	}
 	p.keeping, p.last = true, now
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -136,7 +136,7 @@
 
 // not returns the engines that an item should not go to.
 func (s *survey) not(item *jobs.Item) []ident.BackendName {
-	if !s.without.On(toggle.Avoidance) {
+	if !s.without.Enabled(toggle.Avoidance) {
 		return nil
 	}
 	return item.FailedAt
@@ -155,7 +155,7 @@
 // starts later, and if it takes longer than expected.
 func (s *survey) patient(job *jobs.Job, item *jobs.Item) bool {
 	due := s.due[job.Job]
-	if due == 0 || job.Backlog || !s.without.On(toggle.Patience) {
+	if due == 0 || job.Backlog || !s.without.Enabled(toggle.Patience) {
 		return false
 	}
 	events := float64(item.Expect) / eventTokens
@@ -193,7 +193,7 @@
 		settings := table.Services[service]
 		for _, m := range r.Fleet.View().Backends[service] {
 			name := ident.BackendName(m.Name)
-			if m.State == fleet.Leaving || s.actor[name] == "" || (now < s.book.Avoided[name] && r.Without.On(toggle.Avoidance)) || r.Fleet.MarkedLeaving(m.Name) {
+			if m.State == fleet.Leaving || s.actor[name] == "" || (now < s.book.Avoided[name] && r.Without.Enabled(toggle.Avoidance)) || r.Fleet.MarkedLeaving(m.Name) {
 				continue
 			}
 			s.services[name] = service
--- a/croftmoor/lease/lease.go
+++ b/croftmoor/lease/lease.go
@@ -117,7 +117,7 @@
 			s.heard = holder.Heard
 		}
 		last := s.holding.By
-		if !l.Without.On(toggle.Succession) {
+		if !l.Without.Enabled(toggle.Succession) {
 			last = ""
 		}
 		s.turn = turnOf(l.Role, l.Self, last, b.Live(since))
--- a/croftmoor/scaler/scaler.go
+++ b/croftmoor/scaler/scaler.go
@@ -135,7 +135,7 @@
 	}
 	s.note(table)
 	fence, ok := s.lease.Hold(ctx)
-	if !ok || !s.Without.On(toggle.Scaling) {
+	if !ok || !s.Without.Enabled(toggle.Scaling) {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.needs)) {
--- a/croftmoor/swaps/survey.go
+++ b/croftmoor/swaps/survey.go
@@ -31,7 +31,7 @@
 
 // plan returns the loads to order now.
 func (s *survey) plan(free int) []loads.Load {
-	if !s.keeper.Without.On(toggle.Planning) {
+	if !s.keeper.Without.Enabled(toggle.Planning) {
 		return loads.FurthestBehind(s.states(), s.models(), free)
 	}
 	return loads.Plan(s.states(), s.models(), free)
--- a/croftmoor/swaps/swaps.go
+++ b/croftmoor/swaps/swaps.go
@@ -241,7 +241,7 @@
 func (k *Keeper) loadingAt(engines []fleet.Member, now clock.Millis) int {
 	n := 0
 	for key, load := range k.loading {
-		if k.Without.On(toggle.EarlyOrders) && float64(now-load.began) >= storeShare*float64(k.took) {
+		if k.Without.Enabled(toggle.EarlyOrders) && float64(now-load.began) >= storeShare*float64(k.took) {
 			continue
 		}
 		if slices.ContainsFunc(engines, func(m fleet.Member) bool { return m.Name == string(key.Engine) }) {
@@ -256,7 +256,7 @@
 // lives of this instance have ended, and count as itself.
 func (k *Keeper) leased(b *jobs.Book, engine ident.BackendName, fence ident.Fence, now clock.Millis) bool {
 	last := b.LastOrders[engine.ListName()]
-	own := last.Fence == fence || (k.Without.On(toggle.Succession) && last.By.ListName() == k.Self.ListName())
+	own := last.Fence == fence || (k.Without.Enabled(toggle.Succession) && last.By.ListName() == k.Self.ListName())
 	return last.Fence == 0 || own || now-last.Seen >= k.LeaseTerm
 }
 
--- a/kernel/toggle/toggle.go
+++ b/kernel/toggle/toggle.go
@@ -37,7 +37,7 @@
 	Scaling Mechanism = "Scaling"
 )
 
-var all = []Mechanism{Planning, EarlyOrders, Succession, Moves, Patience, Progress, Avoidance, Detour, Resting, Scaling}
+var mechanisms = []Mechanism{Planning, EarlyOrders, Succession, Moves, Patience, Progress, Avoidance, Detour, Resting, Scaling}
 
 // Kind classifies the errors of this package.
 type Kind string
@@ -50,31 +50,31 @@
 
 // Set is the mechanisms that are switched off; the zero value has none.
 type Set struct {
-	off []Mechanism
+	disabled []Mechanism
 }
 
 // Without returns a set of the named mechanisms; it refuses unknown names.
 func Without(names ...string) (Set, error) {
 	var s Set
 	for _, name := range names {
-		if !slices.Contains(all, Mechanism(name)) {
+		if !slices.Contains(mechanisms, Mechanism(name)) {
 			err := fault.New("toggle.Without", Unknown, "no mechanism "+name)
 			err.Do = "choose among " + strings.Join(Names(), ", ")
 			return Set{}, err
 		}
-		s.off = append(s.off, Mechanism(name))
+		s.disabled = append(s.disabled, Mechanism(name))
 	}
 	return s, nil
 }
 
 // Names returns the names of all mechanisms.
 func Names() []string {
-	names := make([]string, 0, len(all))
-	for _, m := range all {
+	names := make([]string, 0, len(mechanisms))
+	for _, m := range mechanisms {
 		names = append(names, string(m))
 	}
 	return names
 }
 
-// On tells whether a mechanism is in use.
-func (s Set) On(m Mechanism) bool { return !slices.Contains(s.off, m) }
+// Enabled tells whether a mechanism is in use.
+func (s Set) Enabled(m Mechanism) bool { return !slices.Contains(s.disabled, m) }
--- a/kernel/toggle/toggle_test.go
+++ b/kernel/toggle/toggle_test.go
@@ -8,8 +8,8 @@
 
 func TestWithout(t *testing.T) {
 	s, err := Without("Moves")
-	if err != nil || s.On(Moves) || !s.On(Patience) || !(Set{}).On(Moves) {
-		t.Errorf("moves %v, patience %v, by default %v, error %v", s.On(Moves), s.On(Patience), Set{}.On(Moves), err)
+	if err != nil || s.Enabled(Moves) || !s.Enabled(Patience) || !(Set{}).Enabled(Moves) {
+		t.Errorf("moves %v, patience %v, by default %v, error %v", s.Enabled(Moves), s.Enabled(Patience), Set{}.Enabled(Moves), err)
 	}
 	if _, err := Without("Moves", "Magic"); fault.KindOf[Kind](err) != Unknown {
 		t.Errorf("error %v, want an unknown mechanism refused", err)
