--- a/kernel/gone/gone.go
+++ b/kernel/gone/gone.go
@@ -18,7 +18,7 @@
 
 const (
 	shards = 16
-	period = 50 * clock.Millis(1)
+	checkPeriod = 50 * clock.Millis(1)
 )
 
 // Watcher watches connections. Set Clock before Run. Its state is in shards,
@@ -40,13 +40,13 @@
 }
 
 type watch struct {
-	raw    syscall.RawConn
+	socket    syscall.RawConn
 	cancel context.CancelFunc
 }
 
 // Run checks the connections until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	w.Clock.Every(ctx, period, func() {
+	w.Clock.Every(ctx, checkPeriod, func() {
 		for i := range w.shards {
 			w.shards[i].check()
 		}
@@ -57,8 +57,8 @@
 // must call stop when the request is done.
 func (w *Watcher) Watch(ctx context.Context, conn net.Conn) (watched context.Context, stop func()) {
 	watched, cancel := context.WithCancel(ctx)
-	raw := rawOf(conn)
-	if raw == nil {
+	socket := socketOf(conn)
+	if socket == nil {
 		return watched, cancel
 	}
 	id := w.next.add()
@@ -67,7 +67,7 @@
 	if s.watched == nil {
 		s.watched = map[uint64]watch{}
 	}
-	s.watched[id] = watch{raw: raw, cancel: cancel}
+	s.watched[id] = watch{socket: socket, cancel: cancel}
 	s.mu.Unlock()
 	return watched, func() {
 		s.mu.Lock()
@@ -88,15 +88,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, w := range s.watched {
-		if closed(w.raw) {
+		if peerClosed(w.socket) {
 			w.cancel()
 			delete(s.watched, id)
 		}
 	}
 }
 
-// rawOf unwraps conn down to its socket; nil if there is none.
-func rawOf(conn net.Conn) syscall.RawConn {
+// socketOf unwraps conn down to its socket; nil if there is none.
+func socketOf(conn net.Conn) syscall.RawConn {
 	for {
 		switch c := conn.(type) {
 		case syscall.Conn:
@@ -113,30 +113,30 @@
 	}
 }
 
-// closed peeks for the end of the stream.
-func closed(raw syscall.RawConn) bool {
-	ended := false
+// peerClosed peeks for the end of the stream.
+func peerClosed(raw syscall.RawConn) bool {
+	closed := false
 	err := raw.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		ended = (n == 0 && err == nil) || err == syscall.ECONNRESET
+		closed = (n == 0 && err == nil) || err == syscall.ECONNRESET
 	})
-	return ended || err != nil
+	return closed || err != nil
 }
 
-// Quiet tells whether a connection that rests between two requests can be used
+// Reusable tells whether a connection that rests between two requests can be used
 // again: its peer has not closed it, and no byte waits on it that nobody asked
 // for.
-func Quiet(conn net.Conn) bool {
-	raw := rawOf(conn)
+func Reusable(conn net.Conn) bool {
+	raw := socketOf(conn)
 	if raw == nil {
 		return true
 	}
-	quiet := false
+	reusable := false
 	err := raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		reusable = err == syscall.EAGAIN
 	})
-	return quiet && err == nil
+	return reusable && err == nil
 }
--- a/kernel/httpc/httpc.go
+++ b/kernel/httpc/httpc.go
@@ -185,7 +185,7 @@
 		}
 		l := links[n-1]
 		c.idle[address] = links[:n-1]
-		if c.now() < l.until && gone.Quiet(l.Conn) {
+		if c.now() < l.until && gone.Reusable(l.Conn) {
 			l.until = 0
 			return l
 		}
