--- a/croftmoor/admin/admin.go
+++ b/croftmoor/admin/admin.go
@@ -175,7 +175,7 @@
 
 func (a *Admin) why(c fiber.Ctx) error {
 	list := []decisionWire{}
-	for _, d := range a.Trail.Why(c.Params("*")) {
+	for _, d := range a.Trail.Decisions(c.Params("*")) {
 		list = append(list, decisionWire{
 			At: int64(d.At), ID: d.ID, Action: string(d.Action), Choice: d.Choice, RunnerUp: d.RunnerUp, Reason: d.Reason,
 		})
--- a/croftmoor/calls/calls_test.go
+++ b/croftmoor/calls/calls_test.go
@@ -202,7 +202,7 @@
 		caller := callerOf(nil, serverThat(t, nothing), serverThat(t, nothing), serverThat(t, nothing), serverThat(t, nothing))
 		assertEnds(t, caller, request(true), refuse.OutcomeUnknown)
 		lost := 0
-		for _, d := range caller.Trail.Why("x") {
+		for _, d := range caller.Trail.Decisions("x") {
 			if d.Action == trail.Retry {
 				lost++
 			}
--- a/kernel/trail/trail.go
+++ b/kernel/trail/trail.go
@@ -44,8 +44,8 @@
 const (
 	shards        = 16
 	idsPerShard   = 4096
-	linesPerID    = 24
-	keepQuietEach = 16
+	decisionsPerID    = 24
+	sampleInterval = 16
 )
 
 // Trail writes decisions and remembers the recent ones. Set Log and Clock
@@ -64,7 +64,7 @@
 type shard struct {
 	mu    sync.Mutex
 	byID  map[string][]Decision
-	order []string
+	oldestFirst []string
 }
 
 type rate struct {
@@ -77,14 +77,14 @@
 func (t *Trail) Add(d Decision) {
 	d.At = t.Clock.Now()
 	t.remember(d)
-	if !t.loud(d) {
+	if !t.shouldLog(d) {
 		return
 	}
 	t.Log.Info().Str("ID", d.ID).Str("Action", string(d.Action)).Str("Choice", d.Choice).
 		Str("RunnerUp", d.RunnerUp).Str("Reason", d.Reason).Msg("decision")
 }
 
-func (t *Trail) loud(d Decision) bool {
+func (t *Trail) shouldLog(d Decision) bool {
 	if t.SampleAbove == 0 || d.Action == Refuse {
 		return true
 	}
@@ -96,7 +96,7 @@
 		t.rate.count = 0
 	}
 	t.rate.count++
-	return t.rate.count <= t.SampleAbove || t.rate.count%keepQuietEach == 0
+	return t.rate.count <= t.SampleAbove || t.rate.count%sampleInterval == 0
 }
 
 func (t *Trail) remember(d Decision) {
@@ -106,21 +106,21 @@
 	if s.byID == nil {
 		s.byID = map[string][]Decision{}
 	}
-	lines, known := s.byID[d.ID]
+	decisions, known := s.byID[d.ID]
 	if !known {
-		s.order = append(s.order, d.ID)
+		s.oldestFirst = append(s.oldestFirst, d.ID)
 	}
-	if len(lines) < linesPerID {
-		s.byID[d.ID] = append(lines, d)
+	if len(decisions) < decisionsPerID {
+		s.byID[d.ID] = append(decisions, d)
 	}
-	if len(s.order) > idsPerShard {
-		delete(s.byID, s.order[0])
-		s.order = s.order[1:]
+	if len(s.oldestFirst) > idsPerShard {
+		delete(s.byID, s.oldestFirst[0])
+		s.oldestFirst = s.oldestFirst[1:]
 	}
 }
 
-// Why returns the remembered decisions about id, oldest first.
-func (t *Trail) Why(id string) []Decision {
+// Decisions returns the remembered decisions about id, oldest first.
+func (t *Trail) Decisions(id string) []Decision {
 	s := &t.shards[ident.Hash(id)%shards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
