--- a/kernel/toggle/toggle.go
+++ b/kernel/toggle/toggle.go
@@ -1,5 +1,5 @@
-// Package toggle names the mechanisms that can be switched off one by one, to
-// measure what each is worth; docs/POLICY.md has the table. In service all are on.
+// Package toggle defines the mechanisms that can be disabled individually to measure
+// their effect; docs/POLICY.md lists the results. All are enabled by default.
 package toggle
 
 import (
@@ -9,31 +9,35 @@
 	"croftmoor.dev/kernel/fault"
 )
 
-// Mechanism is one that can be switched off.
+// Mechanism is the name of a mechanism that can be disabled.
 type Mechanism string
 
-// Mechanisms.
+// Mechanisms that can be disabled.
 const (
-	// Planning orders the loads that steps gain most from; without it, engines that
-	// are furthest behind load first.
+	// Planning loads new weights first where open steps benefit most. Without it, the
+	// engines with the oldest weights load first.
 	Planning Mechanism = "Planning"
-	// EarlyOrders orders the next load before the engine tells that the last ended.
+	// EarlyOrders orders the next weight load when the previous one should be complete,
+	// before the engine reports it.
 	EarlyOrders Mechanism = "EarlyOrders"
-	// Succession lets a new life of the last holder order versions at once.
+	// Succession lets a restarted lease holder order weight loads again without waiting
+	// for the lease of its previous process to expire.
 	Succession Mechanism = "Succession"
-	// Moves go on with a text at a faster engine.
+	// Moves continues texts on a faster engine.
 	Moves Mechanism = "Moves"
-	// Patience has items that have time leave engines room.
+	// Patience delays items of jobs that are not due soon, which leaves engines to more
+	// urgent items.
 	Patience Mechanism = "Patience"
-	// Progress keeps the beginnings of texts while the rest is made.
+	// Progress saves partial texts, so that another instance can resume them.
 	Progress Mechanism = "Progress"
-	// Avoidance keeps items from engines that failed, were full or went silent.
+	// Avoidance keeps items away from engines that failed, were full or stopped
+	// responding.
 	Avoidance Mechanism = "Avoidance"
-	// Detour reaches the log through other instances.
+	// Detour sends log requests through other instances if the log is unreachable.
 	Detour Mechanism = "Detour"
-	// Resting prefers servers to which an idle connection is open.
+	// Resting prefers backend servers to which an idle connection is open.
 	Resting Mechanism = "Resting"
-	// Scaling orders spot engines for what regular ones have no slots for.
+	// Scaling requests spot engines for items that exceed the slots of regular engines.
 	Scaling Mechanism = "Scaling"
 )
 
@@ -42,23 +46,23 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// Unknown means that there is no such mechanism.
+// Unknown means that a name is not a mechanism.
 const Unknown Kind = "Unknown"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Set is the mechanisms that are switched off; the zero value has none.
+// Set is a set of disabled mechanisms. The zero value disables none.
 type Set struct {
 	disabled []Mechanism
 }
 
-// Without returns a set of the named mechanisms; it refuses unknown names.
+// Without returns the set that disables the named mechanisms, or an error of kind Unknown.
 func Without(names ...string) (Set, error) {
 	var s Set
 	for _, name := range names {
 		if !slices.Contains(mechanisms, Mechanism(name)) {
-			err := fault.New("toggle.Without", Unknown, "no mechanism "+name)
+			err := fault.New("toggle.Without", Unknown, "unknown mechanism "+name)
 			err.Do = "choose among " + strings.Join(Names(), ", ")
 			return Set{}, err
 		}
@@ -76,5 +80,5 @@
 	return names
 }
 
-// Enabled tells whether a mechanism is in use.
+// Enabled reports whether a mechanism is enabled.
 func (s Set) Enabled(m Mechanism) bool { return !slices.Contains(s.disabled, m) }
