--- a/kernel/gone/gone.go
+++ b/kernel/gone/gone.go
@@ -1,10 +1,9 @@
-// Package gone finds out that a caller has closed its connection while its
-// request is still being served. The HTTP server does not tell a handler so,
-// and a write that fails comes too late for an answer that has nothing to
-// write yet.
+// Package gone detects that a caller has closed its connection while its request is being
+// served. The HTTP server does not notify handlers of this, and a failed write reveals it
+// only once there is something to write.
 //
-// The check peeks at the socket without taking bytes from it. A caller that
-// closes only its sending side counts as gone.
+// The check peeks at the socket without consuming bytes. A half-closed connection, on
+// which the caller has closed only its sending side, counts as closed.
 package gone
 
 import (
@@ -18,11 +17,12 @@
 
 const (
 	shards = 16
+	// checkPeriod is the interval between two checks of a connection.
 	checkPeriod = 50 * clock.Millis(1)
 )
 
-// Watcher watches connections. Set Clock before Run. Its state is in shards,
-// each under its own lock.
+// Watcher cancels the contexts of requests whose connections are closed by the peer. Set
+// Clock before Run. Connections are divided into shards, each with its own lock.
 type Watcher struct {
 	Clock  *clock.Clock
 	shards [shards]shard
@@ -40,11 +40,11 @@
 }
 
 type watch struct {
-	socket    syscall.RawConn
+	socket syscall.RawConn
 	cancel context.CancelFunc
 }
 
-// Run checks the connections until ctx ends.
+// Run checks all watched connections every checkPeriod until ctx is done.
 func (w *Watcher) Run(ctx context.Context) {
 	w.Clock.Every(ctx, checkPeriod, func() {
 		for i := range w.shards {
@@ -53,8 +53,8 @@
 	})
 }
 
-// Watch returns a context that ends when conn's peer closes it. The caller
-// must call stop when the request is done.
+// Watch returns a context that is canceled when the peer closes conn. The caller must call
+// stop when the request is done. A conn without a socket is not watched.
 func (w *Watcher) Watch(ctx context.Context, conn net.Conn) (watched context.Context, stop func()) {
 	watched, cancel := context.WithCancel(ctx)
 	socket := socketOf(conn)
@@ -95,7 +95,7 @@
 	}
 }
 
-// socketOf unwraps conn down to its socket; nil if there is none.
+// socketOf returns the socket under conn and its wrappers, or nil if there is none.
 func socketOf(conn net.Conn) syscall.RawConn {
 	for {
 		switch c := conn.(type) {
@@ -113,7 +113,8 @@
 	}
 }
 
-// peerClosed peeks for the end of the stream.
+// peerClosed reports whether the peer has closed or reset the connection and no unread
+// bytes remain.
 func peerClosed(raw syscall.RawConn) bool {
 	closed := false
 	err := raw.Control(func(fd uintptr) {
@@ -124,9 +125,9 @@
 	return closed || err != nil
 }
 
-// Reusable tells whether a connection that rests between two requests can be used
-// again: its peer has not closed it, and no byte waits on it that nobody asked
-// for.
+// Reusable reports whether an idle connection can take another request: the peer has not
+// closed it, and it has no unread bytes, which would be unsolicited. A conn without a
+// socket counts as reusable.
 func Reusable(conn net.Conn) bool {
 	raw := socketOf(conn)
 	if raw == nil {
--- a/kernel/trail/trail.go
+++ b/kernel/trail/trail.go
@@ -1,5 +1,5 @@
-// Package trail is the decision log: one structured line for each decision,
-// and a bounded memory of recent ones by request or sample id.
+// Package trail implements the decision log. It writes decisions as structured log lines
+// and keeps a bounded number of recent ones in memory by the id of their subject.
 package trail
 
 import (
@@ -12,49 +12,65 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Action names what was decided.
+// Action is the kind of a decision.
 type Action string
 
 // Actions.
 const (
-	Route  Action = "Route"
-	Place  Action = "Place"
-	Hold   Action = "Hold"
+	// Route sends a request to a server.
+	Route Action = "Route"
+	// Place assigns a sample or an item to an engine.
+	Place Action = "Place"
+	// Hold withholds something, such as work that is not wanted or an ejected server.
+	Hold Action = "Hold"
+	// Refuse rejects a request.
 	Refuse Action = "Refuse"
+	// Cancel ends work or a lease early.
 	Cancel Action = "Cancel"
-	Order  Action = "Order"
-	Retry  Action = "Retry"
-	Grant  Action = "Grant"
-	Hand   Action = "Hand"
+	// Order instructs an engine or the platform, such as to load weights.
+	Order Action = "Order"
+	// Retry tries again, usually elsewhere.
+	Retry Action = "Retry"
+	// Grant accepts a claim, a lease or a job.
+	Grant Action = "Grant"
+	// Hand delivers a result to its receiver.
+	Hand Action = "Hand"
+	// Config handles a configuration change.
 	Config Action = "Config"
-	// Ended tells that a server ended while it ran a request.
+	// Ended records that a server ended while it ran a request.
 	Ended Action = "Ended"
 )
 
-// Decision is one decision and the reason for it.
+// Decision is a decision and its reason.
 type Decision struct {
-	At       clock.Millis
-	ID       string
-	Action   Action
+	// At is the wall-clock time, set by Trail.Add.
+	At clock.Millis
+	// ID is the id of the subject: a request, sample, step, job or role.
+	ID     string
+	Action Action
+	// Choice names what was chosen, and RunnerUp the next best option, if any.
 	Choice   string
 	RunnerUp string
 	Reason   string
 }
 
 const (
-	shards        = 16
-	idsPerShard   = 4096
-	decisionsPerID    = 24
+	shards = 16
+	// idsPerShard and decisionsPerID bound the decisions kept in memory. The oldest id of
+	// a shard is evicted, and further decisions on an id are dropped.
+	idsPerShard    = 4096
+	decisionsPerID = 24
+	// sampleInterval is N where one in N decisions above SampleAbove is written.
 	sampleInterval = 16
 )
 
-// Trail writes decisions and remembers the recent ones. Set Log and Clock
-// before use. Its state is in shards, each under its own lock.
+// Trail writes decisions to Log and keeps recent ones in memory. Set Log and Clock before
+// use. Ids are divided into shards, each with its own lock.
 type Trail struct {
 	Log   zerolog.Logger
 	Clock *clock.Clock
-	// SampleAbove is the number of routine decisions a second above which one
-	// in keepQuietEach is written; 0 writes all. Refusals are always written.
+	// SampleAbove is the number of decisions per second above which only one in
+	// sampleInterval is written; 0 writes all. Refusals are always written.
 	SampleAbove int64
 
 	rate   rate
@@ -62,18 +78,21 @@
 }
 
 type shard struct {
-	mu    sync.Mutex
-	byID  map[string][]Decision
+	mu   sync.Mutex
+	byID map[string][]Decision
+	// oldestFirst lists the ids in the order of their first decision, for eviction.
 	oldestFirst []string
 }
 
+// rate counts the decisions in the current second; mu guards the fields.
 type rate struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// second is the wall-clock time in whole seconds.
 	second clock.Millis
 	count  int64
 }
 
-// Add records a decision, stamping its time.
+// Add sets the decision's time, keeps it in memory, and writes it unless it is sampled out.
 func (t *Trail) Add(d Decision) {
 	d.At = t.Clock.Now()
 	t.remember(d)
@@ -84,6 +103,8 @@
 		Str("RunnerUp", d.RunnerUp).Str("Reason", d.Reason).Msg("decision")
 }
 
+// shouldLog reports whether a decision is written, and counts it towards SampleAbove
+// unless it is a refusal.
 func (t *Trail) shouldLog(d Decision) bool {
 	if t.SampleAbove == 0 || d.Action == Refuse {
 		return true
@@ -119,7 +140,7 @@
 	}
 }
 
-// Decisions returns the remembered decisions about id, oldest first.
+// Decisions returns a copy of the decisions kept for an id, oldest first.
 func (t *Trail) Decisions(id string) []Decision {
 	s := &t.shards[ident.Hash(id)%shards]
 	s.mu.Lock()
