--- a/croftmoor/roster/roster.go
+++ b/croftmoor/roster/roster.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// settleTerm is how long after the roster was first read an instance waits
+	// settleTime is how long after the roster was first read an instance waits
 	// before it may follow, unless an earlier life of it is listed: when all start for
 	// the first time, the others are not listed yet.
-	settleTerm = 400 * clock.Millis(1)
-	// judgePeriod is the pause between two judgements of whether to follow.
-	judgePeriod = 500 * clock.Millis(1)
-	// awayTerm is the silence of the log beyond which it ages nobody.
-	awayTerm = 4 * clock.Second
-	// firstTerm is how long an instance waits to have read the roster before it posts
+	settleTime = 400 * clock.Millis(1)
+	// electionPeriod is the pause between two judgements of whether to follow.
+	electionPeriod = 500 * clock.Millis(1)
+	// maxReadGap is the silence of the log beyond which it ages nobody.
+	maxReadGap = 4 * clock.Second
+	// firstReadTimeout is how long an instance waits to have read the roster before it posts
 	// itself: its earlier life's post says whether it followed, and stays until then.
-	firstTerm = 500 * clock.Millis(1)
-	// postTerm bounds the writing of a sign of life.
-	postTerm = 2 * clock.Second
-	// nearShare asks an instance of another availability zone now and then, for
+	firstReadTimeout = 500 * clock.Millis(1)
+	// postTimeout bounds the writing of a sign of life.
+	postTimeout = 2 * clock.Second
+	// allZonesInterval asks an instance of another availability zone now and then, for
 	// the case that the whole zone is in the same trouble.
-	nearShare = 4
-	// postShare is the part of the log's writes that all signs of life may take.
-	postShare = 0.05
+	allZonesInterval = 4
+	// maxPostShare is the part of the log's writes that all signs of life may take.
+	maxPostShare = 0.05
 )
 
 // Board is where members are posted; the newest post of each counts.
@@ -53,14 +53,14 @@
 	WritesPerSecond int
 
 	mu      sync.Mutex
-	members map[ident.InstanceName]seen
-	// began tells that the roster has been read; first and last are when it was first
+	members map[ident.InstanceName]listedMember
+	// hasRead tells that the roster has been read; first and last are when it was first
 	// and last known to be current.
-	began bool
-	first clock.Millis
-	// again tells that an earlier life of this instance was listed.
-	again   bool
-	last    clock.Millis
+	hasRead bool
+	firstRead clock.Millis
+	// restarted tells that an earlier life of this instance was listed.
+	restarted   bool
+	lastRead    clock.Millis
 	follows bool
 	leaving bool
 	elected chan struct{}
@@ -68,8 +68,8 @@
 	read chan struct{}
 }
 
-// seen is a member with the offset of its last post.
-type seen struct {
+// listedMember is a member with the offset of its last post.
+type listedMember struct {
 	elect.Member
 	offset ident.Offset
 }
@@ -91,7 +91,7 @@
 	select {
 	case <-ctx.Done():
 	case <-r.read:
-	case <-r.Clock.After(firstTerm):
+	case <-r.Clock.After(firstReadTimeout):
 	}
 	elected := r.elected
 	for ctx.Err() == nil {
@@ -99,20 +99,20 @@
 			elected = nil
 		}
 		r.post(ctx)
-		r.rest(ctx, elected)
+		r.waitForNextPost(ctx, elected)
 	}
 }
 
-// rest waits until the next post is due, or this instance is elected.
-func (r *Roster) rest(ctx context.Context, elected <-chan struct{}) {
+// waitForNextPost waits until the next post is due, or this instance is elected.
+func (r *Roster) waitForNextPost(ctx context.Context, elected <-chan struct{}) {
 	for next := r.Clock.Mono() + r.period(); r.Clock.Mono() < next; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-elected:
 			return
-		case <-r.Clock.After(judgePeriod):
-			r.judge()
+		case <-r.Clock.After(electionPeriod):
+			r.tryElect()
 		}
 	}
 }
@@ -123,25 +123,25 @@
 	return r.follows
 }
 
-// judge decides whether to follow, once, and tells whether that was now. An
+// tryElect decides whether to follow, once, and tells whether that was now. An
 // instance follows until it ends: going back and forth would cost more than one
 // reader too many.
-func (r *Roster) judge() bool {
+func (r *Roster) tryElect() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Mono()
-	if r.follows || r.leaving || !r.began || now-r.last > awayTerm {
+	if r.follows || r.leaving || !r.hasRead || now-r.lastRead > maxReadGap {
 		return false
 	}
-	if !r.again && now-r.first < settleTerm {
+	if !r.restarted && now-r.firstRead < settleTime {
 		return false
 	}
-	if !elect.Chosen(r.Self, r.list(), r.last) {
+	if !elect.Chosen(r.Self, r.list(), r.lastRead) {
 		return false
 	}
 	r.follows = true
 	close(r.elected)
-	r.Log.Info().Int("Members", len(r.members)).Int64("AgeMillis", int64(now-r.last)).Bool("Again", r.again).Msg("follows the ledger")
+	r.Log.Info().Int("Members", len(r.members)).Int64("AgeMillis", int64(now-r.lastRead)).Bool("Again", r.restarted).Msg("follows the ledger")
 	return true
 }
 
@@ -159,11 +159,11 @@
 	self := r.self()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	share := clock.Millis(float64(len(r.members)) * float64(clock.Second) / max(float64(r.WritesPerSecond)*postShare, 1))
+	minPeriod := clock.Millis(float64(len(r.members)) * float64(clock.Second) / max(float64(r.WritesPerSecond)*maxPostShare, 1))
 	if self.Follows {
 		return self.Period()
 	}
-	return max(self.Period(), share)
+	return max(self.Period(), minPeriod)
 }
 
 func (r *Roster) self() elect.Member {
@@ -175,7 +175,7 @@
 }
 
 func (r *Roster) post(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, postTerm.Duration())
+	ctx, cancel := context.WithTimeout(ctx, postTimeout.Duration())
 	defer cancel()
 	if err := r.Board.Post(ctx, r.self()); err != nil {
 		r.Log.Warn().Err(err).Msg("not posted on the roster")
@@ -190,47 +190,47 @@
 	return r.Board.Post(ctx, r.self())
 }
 
-// Heard notes that the roster is known to be current until a time. Time in which it
+// MarkCurrent notes that the roster is known to be current until a time. Time in which it
 // could not be read ages nobody.
-func (r *Roster) Heard(now clock.Millis) {
+func (r *Roster) MarkCurrent(now clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if gap := now - r.last; r.began && gap > awayTerm {
+	if gap := now - r.lastRead; r.hasRead && gap > maxReadGap {
 		for name, m := range r.members {
 			m.Heard += gap
 			r.members[name] = m
 		}
 	}
-	if !r.began {
-		r.began, r.first = true, now
+	if !r.hasRead {
+		r.hasRead, r.firstRead = true, now
 	}
-	r.last = now
+	r.lastRead = now
 }
 
-// Take replaces the members by those that were read, and judges anew.
-func (r *Roster) Take(posted []Posted) {
-	first := r.take(posted)
-	r.judge()
+// SetMembers replaces the members by those that were read, and judges anew.
+func (r *Roster) SetMembers(posted []Posted) {
+	first := r.replaceMembers(posted)
+	r.tryElect()
 	if first {
 		close(r.read)
 	}
 }
 
-// take returns true the first time.
-func (r *Roster) take(posted []Posted) bool {
+// replaceMembers returns true the first time.
+func (r *Roster) replaceMembers(posted []Posted) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Mono()
-	fresh := make(map[ident.InstanceName]seen, len(posted))
+	fresh := make(map[ident.InstanceName]listedMember, len(posted))
 	for _, p := range posted {
-		m := seen{Member: p.Member, offset: p.Offset}
+		m := listedMember{Member: p.Member, offset: p.Offset}
 		m.Heard = now
 		if old, known := r.members[p.Name]; known && old.offset == p.Offset {
 			m.Heard = old.Heard
 		}
 		fresh[p.Name] = m
 		if p.Name != r.Self.Name && p.Name.ListName() == r.Self.Name.ListName() {
-			r.again = true
+			r.restarted = true
 		}
 	}
 	first := r.members == nil
@@ -246,7 +246,7 @@
 func (r *Roster) Age() (age clock.Millis, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.Clock.Mono() - r.last, r.began
+	return r.Clock.Mono() - r.lastRead, r.hasRead
 }
 
 // Followers returns the other instances that follow the ledger: those of this
@@ -257,7 +257,7 @@
 	var near, far []views.Member
 	for _, m := range r.members {
 		switch {
-		case !m.Follows || !m.Alive(r.last) || m.Name.ListName() == r.Self.Name.ListName():
+		case !m.Follows || !m.Alive(r.lastRead) || m.Name.ListName() == r.Self.Name.ListName():
 		case m.Zone == r.Self.Zone:
 			near = append(near, views.Member{Name: m.Name, Zone: m.Zone})
 		default:
@@ -278,26 +278,26 @@
 func (r *Roster) Peers() []ident.Address {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	near, all := r.living()
-	if len(near) > 0 && r.Clock.Mono()%nearShare != 0 {
+	near, all := r.livingAddresses()
+	if len(near) > 0 && r.Clock.Mono()%allZonesInterval != 0 {
 		return near
 	}
 	return all
 }
 
-// All returns the addresses of the other living instances.
-func (r *Roster) All() []ident.Address {
+// AllPeers returns the addresses of the other living instances.
+func (r *Roster) AllPeers() []ident.Address {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, all := r.living()
+	_, all := r.livingAddresses()
 	return all
 }
 
-// living returns the addresses of the other living instances, and of those of them in
+// livingAddresses returns the addresses of the other livingAddresses instances, and of those of them in
 // this instance's availability zone; mu is held.
-func (r *Roster) living() (near, all []ident.Address) {
+func (r *Roster) livingAddresses() (near, all []ident.Address) {
 	for _, m := range r.members {
-		if m.Name.ListName() == r.Self.Name.ListName() || !m.Alive(r.last) {
+		if m.Name.ListName() == r.Self.Name.ListName() || !m.Alive(r.lastRead) {
 			continue
 		}
 		all = append(all, m.Address)
