--- a/croftmoor/roster/roster.go
+++ b/croftmoor/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster keeps what the instances know of each other apart from the
-// ledger: who exists, where, and who follows the ledger. Every instance reads it,
-// and it holds little; see kernel/elect for who follows.
+// Package roster maintains the membership list of the instances: which ones exist, their
+// addresses, and which ones follow the ledger. All instances read it, including those that
+// do not follow the ledger. Package elect selects the followers.
 package roster
 
 import (
@@ -16,55 +16,59 @@
 )
 
 const (
-	// settleTime is how long after the roster was first read an instance waits
-	// before it may follow, unless an earlier life of it is listed: when all start for
-	// the first time, the others are not listed yet.
+	// settleTime is how long an instance waits after its first read before it may
+	// follow, because instances that start at the same time may not be listed yet. An
+	// instance whose previous process is listed does not wait.
 	settleTime = 400 * clock.Millis(1)
-	// electionPeriod is the pause between two judgements of whether to follow.
+	// electionPeriod is the interval between two evaluations of whether to follow.
 	electionPeriod = 500 * clock.Millis(1)
-	// maxReadGap is the silence of the log beyond which it ages nobody.
+	// maxReadGap is the longest gap between reads that counts towards the age of members.
+	// During longer gaps, members are not aged and no follower is elected.
 	maxReadGap = 4 * clock.Second
-	// firstReadTimeout is how long an instance waits to have read the roster before it posts
-	// itself: its earlier life's post says whether it followed, and stays until then.
+	// firstReadTimeout is how long an instance waits for the first read before it posts
+	// itself. It reads first because its own post replaces that of its previous process.
 	firstReadTimeout = 500 * clock.Millis(1)
-	// postTimeout bounds the writing of a sign of life.
+	// postTimeout is the timeout of a heartbeat post.
 	postTimeout = 2 * clock.Second
-	// allZonesInterval asks an instance of another availability zone now and then, for
-	// the case that the whole zone is in the same trouble.
+	// allZonesInterval is N where one in N calls of Peers includes other availability
+	// zones, in case all peers in this one share a failure.
 	allZonesInterval = 4
-	// maxPostShare is the part of the log's writes that all signs of life may take.
+	// maxPostShare is the share of the log's write rate that heartbeats of all instances
+	// may use together.
 	maxPostShare = 0.05
 )
 
-// Board is where members are posted; the newest post of each counts.
+// Board stores the members; the newest post of each counts.
 type Board interface {
+	// Post stores the state of a member.
 	Post(ctx context.Context, member elect.Member) error
 }
 
-// Roster is this instance's copy. Set the exported fields before Run. The rest is
-// guarded by mu.
+// Roster is this instance's copy of the membership list. Set the exported fields, then call
+// Setup before Run. mu guards the unexported fields except the channels.
 type Roster struct {
-	// Self is this instance as it is posted.
+	// Self is this instance as posted; the roster sets Follows and Leaving.
 	Self  elect.Member
 	Board Board
 	Clock *clock.Clock
 	Log   zerolog.Logger
-	// WritesPerSecond is what the log serves to all instances together.
+	// WritesPerSecond is the log's write limit for all instances together.
 	WritesPerSecond int
 
 	mu      sync.Mutex
 	members map[ident.InstanceName]listedMember
-	// hasRead tells that the roster has been read; first and last are when it was first
-	// and last known to be current.
-	hasRead bool
+	// hasRead reports whether the roster has been read. firstRead and lastRead are when
+	// it was first and last known to be current.
+	hasRead   bool
 	firstRead clock.Millis
-	// restarted tells that an earlier life of this instance was listed.
-	restarted   bool
-	lastRead    clock.Millis
-	follows bool
-	leaving bool
+	// restarted reports whether a previous process of this instance was listed.
+	restarted bool
+	lastRead  clock.Millis
+	follows   bool
+	leaving   bool
+	// elected is closed when this instance starts to follow the ledger.
 	elected chan struct{}
-	// read is closed when the roster has been read.
+	// read is closed when the roster is first read.
 	read chan struct{}
 }
 
@@ -74,19 +78,20 @@
 	offset ident.Offset
 }
 
-// Posted is a member as it was read, with the offset of its post.
+// Posted is a member as read from the board, with the offset of its post in the log.
 type Posted struct {
 	elect.Member
 	Offset ident.Offset
 }
 
-// Setup makes the roster usable; it is called before Run.
+// Setup initialises the roster. It must be called before any other method.
 func (r *Roster) Setup() {
 	r.elected = make(chan struct{})
 	r.read = make(chan struct{})
 }
 
-// Run posts this instance and judges whether it should follow, until ctx ends.
+// Run posts this instance periodically and evaluates whether it should follow the ledger,
+// until ctx is done.
 func (r *Roster) Run(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -103,7 +108,8 @@
 	}
 }
 
-// waitForNextPost waits until the next post is due, or this instance is elected.
+// waitForNextPost waits until the next post is due or elected is closed, and calls tryElect
+// meanwhile.
 func (r *Roster) waitForNextPost(ctx context.Context, elected <-chan struct{}) {
 	for next := r.Clock.Mono() + r.period(); r.Clock.Mono() < next; {
 		select {
@@ -123,9 +129,9 @@
 	return r.follows
 }
 
-// tryElect decides whether to follow, once, and tells whether that was now. An
-// instance follows until it ends: going back and forth would cost more than one
-// reader too many.
+// tryElect makes this instance a follower if it is chosen, and reports whether it became
+// one in this call. An instance follows until it ends, because changing back and forth
+// costs more than an extra reader.
 func (r *Roster) tryElect() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,11 +147,11 @@
 	}
 	r.follows = true
 	close(r.elected)
-	r.Log.Info().Int("Members", len(r.members)).Int64("AgeMillis", int64(now-r.lastRead)).Bool("Again", r.restarted).Msg("follows the ledger")
+	r.Log.Info().Int("Members", len(r.members)).Int64("AgeMillis", int64(now-r.lastRead)).Bool("Again", r.restarted).Msg("elected to follow the ledger")
 	return true
 }
 
-// list returns the members; mu is held.
+// list returns the members. The caller must hold mu.
 func (r *Roster) list() []elect.Member {
 	all := make([]elect.Member, 0, len(r.members))
 	for _, m := range r.members {
@@ -154,7 +160,8 @@
 	return all
 }
 
-// period returns the pause between two posts.
+// period returns the interval between two posts. For instances that do not follow, it
+// grows with the number of members to respect maxPostShare.
 func (r *Roster) period() clock.Millis {
 	self := r.self()
 	r.mu.Lock()
@@ -166,6 +173,7 @@
 	return max(self.Period(), minPeriod)
 }
 
+// self returns this instance with its current state.
 func (r *Roster) self() elect.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,11 +186,11 @@
 	ctx, cancel := context.WithTimeout(ctx, postTimeout.Duration())
 	defer cancel()
 	if err := r.Board.Post(ctx, r.self()); err != nil {
-		r.Log.Warn().Err(err).Msg("not posted on the roster")
+		r.Log.Warn().Err(err).Msg("could not post this instance on the roster")
 	}
 }
 
-// Leave tells the others that this instance is about to end.
+// Leave announces that this instance is about to stop.
 func (r *Roster) Leave(ctx context.Context) error {
 	r.mu.Lock()
 	r.leaving = true
@@ -190,8 +198,8 @@
 	return r.Board.Post(ctx, r.self())
 }
 
-// MarkCurrent notes that the roster is known to be current until a time. Time in which it
-// could not be read ages nobody.
+// MarkCurrent records that the roster was current at the given time. If it could not be read
+// for longer than maxReadGap, that time does not count towards the age of the members.
 func (r *Roster) MarkCurrent(now clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -207,7 +215,8 @@
 	r.lastRead = now
 }
 
-// SetMembers replaces the members by those that were read, and judges anew.
+// SetMembers replaces the members with those that were read, and evaluates whether to
+// follow.
 func (r *Roster) SetMembers(posted []Posted) {
 	first := r.replaceMembers(posted)
 	r.tryElect()
@@ -216,7 +225,8 @@
 	}
 }
 
-// replaceMembers returns true the first time.
+// replaceMembers sets the members and reports whether this is the first time. A member with
+// an unchanged post keeps its Heard time.
 func (r *Roster) replaceMembers(posted []Posted) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -238,19 +248,19 @@
 	return first
 }
 
-// Elected is closed when this instance is to follow the ledger.
+// Elected returns a channel that is closed when this instance starts to follow the ledger.
 func (r *Roster) Elected() <-chan struct{} { return r.elected }
 
-// Age returns how long ago the roster was last known to be current; ok is false
-// if it has never been.
+// Age returns the time since the roster was last known to be current; ok is false if it has
+// not been read yet.
 func (r *Roster) Age() (age clock.Millis, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Clock.Mono() - r.lastRead, r.hasRead
 }
 
-// Followers returns the other instances that follow the ledger: those of this
-// availability zone first, each part in the order in which they look after a key.
+// Followers returns the other live instances that follow the ledger: those of this
+// availability zone first, each zone group in the rank order of the key (views.Rank).
 func (r *Roster) Followers(key string) []elect.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -272,9 +282,9 @@
 	return followers
 }
 
-// Peers returns the addresses of the other living instances, mostly those of this
-// instance's availability zone only, if it has some. While nothing can be read, the
-// last known ones stay.
+// Peers returns the addresses of other live instances. Most calls return only those in this
+// availability zone, if there are any. While the roster cannot be read, the last known
+// members count.
 func (r *Roster) Peers() []ident.Address {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -285,7 +295,7 @@
 	return all
 }
 
-// AllPeers returns the addresses of the other living instances.
+// AllPeers returns the addresses of the other live instances in all availability zones.
 func (r *Roster) AllPeers() []ident.Address {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -293,8 +303,8 @@
 	return all
 }
 
-// livingAddresses returns the addresses of the other livingAddresses instances, and of those of them in
-// this instance's availability zone; mu is held.
+// livingAddresses returns the addresses of the other live instances: near holds those in
+// this availability zone, all those in every zone. The caller must hold mu.
 func (r *Roster) livingAddresses() (near, all []ident.Address) {
 	for _, m := range r.members {
 		if m.Name.ListName() == r.Self.Name.ListName() || !m.Alive(r.lastRead) {
--- a/croftmoor/roster/roster_test.go
+++ b/croftmoor/roster/roster_test.go
@@ -12,7 +12,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// fakeBoard takes posts and keeps the last one.
+// fakeBoard keeps the last post.
 type fakeBoard struct {
 	last elect.Member
 }
@@ -29,7 +29,7 @@
 	return r, board
 }
 
-// followers returns so many posts of members that follow the ledger.
+// followers returns posts of n members that follow the ledger.
 func followers(n int) []Posted {
 	posted := make([]Posted, 0, n)
 	for i := range n {
@@ -41,7 +41,7 @@
 	return posted
 }
 
-// load has the roster hear posts long enough ago to judge by.
+// load reads the posts into the roster and backdates the read by settleTime.
 func load(r *Roster, posted []Posted) {
 	r.MarkCurrent(r.Clock.Mono())
 	r.replaceMembers(posted)
@@ -51,7 +51,7 @@
 func wantElected(t *testing.T, r *Roster, want bool) {
 	t.Helper()
 	if got := r.tryElect(); got != want {
-		t.Errorf("follows from now on: %v, want %v", got, want)
+		t.Errorf("elected in this call: %v, want %v", got, want)
 	}
 }
 
@@ -71,7 +71,7 @@
 		r.MarkCurrent(r.Clock.Mono())
 		r.SetMembers(followers(elect.PerZone))
 		if _, open := <-r.Elected(); open {
-			t.Error("it waits though the others are listed")
+			t.Error("it is not elected although its previous process is listed")
 		}
 	})
 	t.Run("an instance follows once, and says so", func(t *testing.T) {
@@ -81,7 +81,7 @@
 		wantElected(t, r, false)
 		r.post(t.Context())
 		if !board.last.Follows {
-			t.Error("the others are not told")
+			t.Error("the post does not say that the instance follows")
 		}
 	})
 	t.Run("where enough follow it does not", func(t *testing.T) {
@@ -115,7 +115,7 @@
 		r, board := rosterOf("front-x~1")
 		load(r, nil)
 		if err := r.Leave(t.Context()); err != nil || !board.last.Leaving {
-			t.Errorf("posted %+v, error %v", board.last, err)
+			t.Errorf("posted %+v, error %v, want Leaving set and no error", board.last, err)
 		}
 		wantElected(t, r, false)
 	})
@@ -131,6 +131,6 @@
 	load(r, posted)
 	followers := r.Followers("job")
 	if len(followers) != 2 || followers[0].Name != "front-9~1" || followers[1].Name != "front-2~1" {
-		t.Errorf("%+v, want the one of this zone, then that of the other", followers)
+		t.Errorf("followers are %+v, want front-9 of this zone, then front-2 of the other", followers)
 	}
 }
