--- a/croftmoor/guard/guard.go
+++ b/croftmoor/guard/guard.go
@@ -152,17 +152,17 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v := g.table.Verdict(request, g.Clock.Mono())
-	if v.Left == 0 && !g.ready() {
+	if v.HeldFor == 0 && !g.ready() {
 		return unreadPause, "which requests are held has not been read yet"
 	}
-	if v.Left == 0 {
+	if v.HeldFor == 0 {
 		return 0, ""
 	}
-	why = fmt.Sprintf("request %s: %d servers ended under it, the last one was heard of %d ms ago; it is held for %d ms", request, v.Ends, v.Age, v.Left)
-	if v.Doubt {
+	why = fmt.Sprintf("request %s: %d servers ended under it, the last one was heard of %d ms ago; it is held for %d ms", request, v.Ends, v.SinceLastEnd, v.HeldFor)
+	if v.Ambiguous {
 		why += ", since another request was there each time"
 	}
-	return v.Left, why
+	return v.HeldFor, why
 }
 
 // Ended tells all instances that a server ended while it ran a request.
@@ -184,7 +184,7 @@
 func (g *Guard) HeldCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.Held(g.Clock.Mono())
+	return g.table.CountHeld(g.Clock.Mono())
 }
 
 // note takes a record over and, unless the log told of it, passes it on.
@@ -206,7 +206,7 @@
 		if news = g.table.Ended(r, told, now); news {
 			v := g.table.Verdict(r.Request, now)
 			g.Log.Info().Str("Request", string(r.Request)).Str("Server", string(r.Server)).
-				Bool("Told", told).Int("Ends", v.Ends).Int64("HeldMillis", int64(v.Left)).Bool("Doubt", v.Doubt).Msg("server ended under a request")
+				Bool("Told", told).Int("Ends", v.Ends).Int64("HeldMillis", int64(v.HeldFor)).Bool("Doubt", v.Ambiguous).Msg("server ended under a request")
 		}
 	case poison.Answer:
 		if news = g.table.Suspected(r.Request); news {
@@ -220,7 +220,7 @@
 
 // noteHeld logs a change of the number of held requests; mu is held.
 func (g *Guard) noteHeld(now clock.Millis) {
-	if held := g.table.Held(now); held != g.held {
+	if held := g.table.CountHeld(now); held != g.held {
 		g.Log.Warn().Int("Held", held).Int("Before", g.held).Msg("requests kept from servers")
 		g.held = held
 	}
@@ -299,7 +299,7 @@
 	g.mu.Lock()
 	now := g.Clock.Mono()
 	g.table.Forget(now)
-	ends := g.table.Renew(now, g.late())
+	ends := g.table.DueForRenewal(now, g.late())
 	dropped := g.dropped
 	g.dropped = 0
 	g.noteHeld(now)
--- a/kernel/eject/eject.go
+++ b/kernel/eject/eject.go
@@ -1,5 +1,5 @@
-// Package eject keeps a backend server that fails out of the routing, and lets
-// it back in slowly.
+// Package eject implements a circuit breaker that removes a failing backend server from
+// routing and readmits it gradually.
 package eject
 
 import (
@@ -8,67 +8,76 @@
 	"croftmoor.dev/kernel/clock"
 )
 
-// Defaults of a Breaker.
+// Parameters of a Breaker.
 const (
-	DefaultFailures = 3
-	DefaultFirst    = 1 * clock.Second
-	DefaultMost     = 30 * clock.Second
-	DefaultRamp     = 5 * clock.Second
+	// FailureThreshold is the number of consecutive failures that ejects a server.
+	FailureThreshold = 3
+	// FirstEjection is the length of the first ejection. Each further one is twice as long,
+	// up to MaxEjection, until a success after the ramp resets it.
+	FirstEjection = 1 * clock.Second
+	MaxEjection   = 30 * clock.Second
+	// RampDuration is how long the weight takes to grow to 1 after readmission. A single
+	// failure during that time ejects the server again.
+	RampDuration = 5 * clock.Second
 
-	// lowestWeight is what a server that was just let in starts from.
-	lowestWeight = 0.05
+	// minWeight is the weight of a server that was just readmitted.
+	minWeight = 0.05
 )
 
-// Breaker follows one backend server. The zero value uses the defaults; its
-// state is guarded by mu.
+// Breaker tracks the failures of one backend server. The zero value is ready to use; mu
+// guards the fields.
 type Breaker struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// failures counts consecutive failures since the last ejection or success.
 	failures int
-	trips    int
-	until    clock.Millis
-	returned clock.Millis
+	// ejections counts ejections since the last success after a complete ramp.
+	ejections    int
+	ejectedUntil clock.Millis
+	readmittedAt clock.Millis
 }
 
-// Failed notes a failure. It reports whether the server was ejected by it.
-func (b *Breaker) Failed(now clock.Millis) bool {
+// RecordFailure records a failure and reports whether it ejected the server. Failures
+// during an ejection are ignored.
+func (b *Breaker) RecordFailure(now clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now < b.until {
+	if now < b.ejectedUntil {
 		return false
 	}
 	b.failures++
-	ramping := b.trips > 0 && now < b.returned+DefaultRamp
-	if b.failures < DefaultFailures && !ramping {
+	ramping := b.ejections > 0 && now < b.readmittedAt+RampDuration
+	if b.failures < FailureThreshold && !ramping {
 		return false
 	}
 	b.failures = 0
-	pause := DefaultFirst << min(b.trips, 5)
-	b.trips++
-	b.until = now + min(pause, DefaultMost)
-	b.returned = b.until
+	ejection := FirstEjection << min(b.ejections, 5)
+	b.ejections++
+	b.ejectedUntil = now + min(ejection, MaxEjection)
+	b.readmittedAt = b.ejectedUntil
 	return true
 }
 
-// Succeeded notes a success.
-func (b *Breaker) Succeeded(now clock.Millis) {
+// RecordSuccess records a success.
+func (b *Breaker) RecordSuccess(now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failures = 0
-	if b.trips > 0 && now >= b.returned+DefaultRamp {
-		b.trips = 0
+	if b.ejections > 0 && now >= b.readmittedAt+RampDuration {
+		b.ejections = 0
 	}
 }
 
-// Weight returns 0 while the server is ejected, then a share that grows to 1.
+// Weight returns the server's share of its normal traffic: 0 during an ejection, then
+// growing from minWeight to 1 over RampDuration.
 func (b *Breaker) Weight(now clock.Millis) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now < b.until {
+	if now < b.ejectedUntil {
 		return 0
 	}
-	if b.trips == 0 || now >= b.returned+DefaultRamp {
+	if b.ejections == 0 || now >= b.readmittedAt+RampDuration {
 		return 1
 	}
-	share := float64(now-b.returned) / float64(DefaultRamp)
-	return max(lowestWeight, share)
+	share := float64(now-b.readmittedAt) / float64(RampDuration)
+	return max(minWeight, share)
 }
--- a/kernel/gone/gone.go
+++ b/kernel/gone/gone.go
@@ -1,10 +1,9 @@
-// Package gone finds out that a caller has closed its connection while its
-// request is still being served. The HTTP server does not tell a handler so,
-// and a write that fails comes too late for an answer that has nothing to
-// write yet.
+// Package gone detects that a caller has closed its connection while its request is being
+// served. The HTTP server does not notify handlers of this, and a failed write reveals it
+// only once there is something to write.
 //
-// The check peeks at the socket without taking bytes from it. A caller that
-// closes only its sending side counts as gone.
+// The check peeks at the socket without consuming bytes. A half-closed connection, on
+// which the caller has closed only its sending side, counts as closed.
 package gone
 
 import (
@@ -18,11 +17,12 @@
 
 const (
 	shards = 16
-	period = 50 * clock.Millis(1)
+	// checkPeriod is the interval between two checks of a connection.
+	checkPeriod = 50 * clock.Millis(1)
 )
 
-// Watcher watches connections. Set Clock before Run. Its state is in shards,
-// each under its own lock.
+// Watcher cancels the contexts of requests whose connections are closed by the peer. Set
+// Clock before Run. Connections are divided into shards, each with its own lock.
 type Watcher struct {
 	Clock  *clock.Clock
 	shards [shards]shard
@@ -40,25 +40,25 @@
 }
 
 type watch struct {
-	raw    syscall.RawConn
+	socket syscall.RawConn
 	cancel context.CancelFunc
 }
 
-// Run checks the connections until ctx ends.
+// Run checks all watched connections every checkPeriod until ctx is done.
 func (w *Watcher) Run(ctx context.Context) {
-	w.Clock.Every(ctx, period, func() {
+	w.Clock.Every(ctx, checkPeriod, func() {
 		for i := range w.shards {
 			w.shards[i].check()
 		}
 	})
 }
 
-// Watch returns a context that ends when conn's peer closes it. The caller
-// must call stop when the request is done.
+// Watch returns a context that is canceled when the peer closes conn. The caller must call
+// stop when the request is done. A conn without a socket is not watched.
 func (w *Watcher) Watch(ctx context.Context, conn net.Conn) (watched context.Context, stop func()) {
 	watched, cancel := context.WithCancel(ctx)
-	raw := rawOf(conn)
-	if raw == nil {
+	socket := socketOf(conn)
+	if socket == nil {
 		return watched, cancel
 	}
 	id := w.next.add()
@@ -67,7 +67,7 @@
 	if s.watched == nil {
 		s.watched = map[uint64]watch{}
 	}
-	s.watched[id] = watch{raw: raw, cancel: cancel}
+	s.watched[id] = watch{socket: socket, cancel: cancel}
 	s.mu.Unlock()
 	return watched, func() {
 		s.mu.Lock()
@@ -88,15 +88,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, w := range s.watched {
-		if closed(w.raw) {
+		if peerClosed(w.socket) {
 			w.cancel()
 			delete(s.watched, id)
 		}
 	}
 }
 
-// rawOf unwraps conn down to its socket; nil if there is none.
-func rawOf(conn net.Conn) syscall.RawConn {
+// socketOf returns the socket under conn and its wrappers, or nil if there is none.
+func socketOf(conn net.Conn) syscall.RawConn {
 	for {
 		switch c := conn.(type) {
 		case syscall.Conn:
@@ -113,30 +113,31 @@
 	}
 }
 
-// closed peeks for the end of the stream.
-func closed(raw syscall.RawConn) bool {
-	ended := false
+// peerClosed reports whether the peer has closed or reset the connection and no unread
+// bytes remain.
+func peerClosed(raw syscall.RawConn) bool {
+	closed := false
 	err := raw.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		ended = (n == 0 && err == nil) || err == syscall.ECONNRESET
+		closed = (n == 0 && err == nil) || err == syscall.ECONNRESET
 	})
-	return ended || err != nil
+	return closed || err != nil
 }
 
-// Quiet tells whether a connection that rests between two requests can be used
-// again: its peer has not closed it, and no byte waits on it that nobody asked
-// for.
-func Quiet(conn net.Conn) bool {
-	raw := rawOf(conn)
+// Reusable reports whether an idle connection can take another request: the peer has not
+// closed it, and it has no unread bytes, which would be unsolicited. A conn without a
+// socket counts as reusable.
+func Reusable(conn net.Conn) bool {
+	raw := socketOf(conn)
 	if raw == nil {
 		return true
 	}
-	quiet := false
+	reusable := false
 	err := raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		reusable = err == syscall.EAGAIN
 	})
-	return quiet && err == nil
+	return reusable && err == nil
 }
--- a/kernel/route/route_test.go
+++ b/kernel/route/route_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p.Pick(Request{Zone: "a", Work: 100, Crossing: 1}, candidates, rand.New(rand.NewPCG(seed, 1)))
+	return p.Pick(Request{Zone: "a", Work: 100, ZoneLatency: 1}, candidates, rand.New(rand.NewPCG(seed, 1)))
 }
 
 func server(zone ident.Zone, own int) Candidate {
@@ -50,11 +50,11 @@
 	}
 }
 
-// TestNoHerding lets 13 instances choose on the same stale report, in which
-// one of ten engines looks idle, and counts how many go there.
+// TestNoHerding checks that instances which hold the same stale report, in which one of
+// ten engines looks idle, do not all send their requests there.
 func TestNoHerding(t *testing.T) {
 	const instances, requests = 13, 4
-	crowd := func(policy string) int {
+	sentToIdle := func(policy string) int {
 		onIdle := 0
 		for i := range instances {
 			candidates := make([]Candidate, 10)
@@ -72,25 +72,25 @@
 		}
 		return onIdle
 	}
-	if herd := crowd(LeastReported); herd != instances*requests {
-		t.Fatalf("the baseline sent %d", herd)
+	if herd := sentToIdle(LeastReported); herd != instances*requests {
+		t.Fatalf("the baseline sent %d requests to the engine that looked idle, want all", herd)
 	}
-	if herd := crowd(Balanced); herd > instances*requests/2 {
+	if herd := sentToIdle(Balanced); herd > instances*requests/2 {
 		t.Fatalf("%d of %d requests went to the engine that looked idle", herd, instances*requests)
 	}
 }
 
 func TestBreaker(t *testing.T) {
 	b := &eject.Breaker{}
-	for range eject.DefaultFailures {
-		b.Failed(100)
+	for range eject.FailureThreshold {
+		b.RecordFailure(100)
 	}
 	assertWeight(t, b, 101, 0, 0)
-	assertWeight(t, b, 100+eject.DefaultFirst+1, 0.01, 0.2)
-	assertWeight(t, b, 100+eject.DefaultFirst+eject.DefaultRamp, 1, 1)
-	// A failure on its way back ejects it again at once, for longer.
-	b.Failed(100 + eject.DefaultFirst + 10)
-	assertWeight(t, b, 100+2*eject.DefaultFirst+20, 0, 0)
+	assertWeight(t, b, 100+eject.FirstEjection+1, 0.01, 0.2)
+	assertWeight(t, b, 100+eject.FirstEjection+eject.RampDuration, 1, 1)
+	// A failure during the ramp ejects the server again at once, for longer.
+	b.RecordFailure(100 + eject.FirstEjection + 10)
+	assertWeight(t, b, 100+2*eject.FirstEjection+20, 0, 0)
 }
 
 func assertWeight(t *testing.T, b *eject.Breaker, now clock.Millis, low, high float64) {
--- a/kernel/steps/steps.go
+++ b/kernel/steps/steps.go
@@ -121,7 +121,7 @@
 	t := &Tracker{Spec: spec, slots: make([]slotState, spec.Slots())}
 	order := make([]place.Slot, len(t.slots))
 	for i := range t.slots {
-		order[i] = place.Slot{Index: ident.Slot(i), Expect: expectedTokens(spec.Prompt(ident.Slot(i)))}
+		order[i] = place.Slot{Index: ident.Slot(i), Expected: expectedTokens(spec.Prompt(ident.Slot(i)))}
 	}
 	t.missing = len(t.slots)
 	slices.SortFunc(order, policy.Compare)
