--- a/croftmoor/front/front.go
+++ b/croftmoor/front/front.go
@@ -198,8 +198,8 @@
 	made, _ := f.gates.LoadOrStore(h.class, &admit.Gate{Clock: f.Clock})
 	gate, _ := made.(*admit.Gate)
 	n := max(f.Instances(), 1)
-	gate.Limit(float64(limit.Rate)/float64(n), share(limit.Concurrency, n), share(limit.Queue, n))
-	return gate.Enter(ctx, admit.Ask{StartBy: h.deadline, Until: h.deadline})
+	gate.SetLimits(float64(limit.Rate)/float64(n), share(limit.Concurrency, n), share(limit.Queue, n))
+	return gate.Enter(ctx, admit.Request{StartBy: h.deadline, Deadline: h.deadline})
 }
 
 // share divides a limit by the instances, rounding up.
--- a/croftmoor/proxy/room.go
+++ b/croftmoor/proxy/room.go
@@ -19,7 +19,7 @@
 	Shared(service ident.Service) bool
 	// Enter waits for a call's turn; leave is called once it has ended. A refusal tells
 	// when to come back.
-	Enter(ctx context.Context, service ident.Service, ask admit.Ask) (leave func(), decision admit.Decision, err error)
+	Enter(ctx context.Context, service ident.Service, ask admit.Request) (leave func(), decision admit.Decision, err error)
 	// Note learns from a server's answer.
 	Note(service ident.Service, s admit.Signal)
 	// TryAgain tells whether a call may be tried at one more server.
@@ -45,7 +45,7 @@
 		return func() {}, nil
 	}
 	now := p.Clock.Mono()
-	ask := admit.Ask{Organisation: r.sharer(), Rank: r.Urgent, StartBy: r.Until, Until: r.Until}
+	ask := admit.Request{Organisation: r.sharer(), Priority: r.Urgent, StartBy: r.Until, Deadline: r.Until}
 	if r.Route.Objective > 0 {
 		ask.StartBy = min(now+r.Route.Objective, r.Until)
 	}
@@ -84,7 +84,7 @@
 	}
 	shed := v.NotRun && a.Status == http.StatusServiceUnavailable
 	s.costly = s.costly || shed
-	signal := admit.Signal{Server: server, Shed: shed, Took: took, Objective: r.Route.Objective}
+	signal := admit.Signal{Server: server, Shed: shed, Latency: took, Objective: r.Route.Objective}
 	if v.HasLoad {
 		signal.Waiting, signal.Slots = v.Load.Waiting, v.Load.Slots
 	}
--- a/croftmoor/rooms/rooms.go
+++ b/croftmoor/rooms/rooms.go
@@ -70,11 +70,11 @@
 	}
 	made := &room{}
 	made.gate.Clock = r.Clock
-	made.gate.Room = &admit.Room{
-		Slots: func() float64 { return r.slots(service) },
-		Uses:  func(server ident.BackendName) bool { return r.uses(service, server) },
+	made.gate.Adaptive = &admit.AdaptiveLimiter{
+		SlotShare: func() float64 { return r.slots(service) },
+		InUse:  func(server ident.BackendName) bool { return r.uses(service, server) },
 	}
-	made.gate.Limit(0, 0, mostWaiting)
+	made.gate.SetLimits(0, 0, mostWaiting)
 	actual, _ := r.byService.LoadOrStore(service, made)
 	found, _ := actual.(*room)
 	return found
@@ -100,7 +100,7 @@
 
 // Enter waits for a call's turn. On success the caller must call leave once. A refusal
 // tells when to come back.
-func (r *Rooms) Enter(ctx context.Context, service ident.Service, ask admit.Ask) (leave func(), decision admit.Decision, err error) {
+func (r *Rooms) Enter(ctx context.Context, service ident.Service, ask admit.Request) (leave func(), decision admit.Decision, err error) {
 	if !r.Shared(service) {
 		return func() {}, admit.Decision{Verdict: admit.Start, Reason: "the room is not shared out"}, nil
 	}
@@ -124,7 +124,7 @@
 // Note learns from a server's answer to a call.
 func (r *Rooms) Note(service ident.Service, s admit.Signal) {
 	if r.Shared(service) {
-		r.room(service).gate.Note(s)
+		r.room(service).gate.Observe(s)
 	}
 }
 
@@ -146,5 +146,5 @@
 	if !r.Shared(service) {
 		return 0
 	}
-	return r.room(service).gate.ComeBack(by)
+	return r.room(service).gate.RetryAfter(by)
 }
--- a/kernel/admit/admit.go
+++ b/kernel/admit/admit.go
@@ -23,9 +23,9 @@
 	OverRate    = "the class is over its rate"
 	QueueFull   = "the class's queue is full"
 	TooLate     = "the deadline would pass in the queue"
-	NoRoom      = "the servers have no room in time"
-	deadlineNow = "the deadline passed in the queue"
-	callerLeft  = "the caller has left the queue"
+	NoCapacity      = "the servers have no room in time"
+	deadlinePassed = "the deadline passed in the queue"
+	callerCanceled  = "the caller has left the queue"
 )
 
 // Decision is a verdict with its reason and, for a refusal, when to come back.
@@ -41,8 +41,8 @@
 }
 
 const (
-	// burst is how many seconds of the rate may come at once.
-	burst = 1.0
+	// burstSeconds is how many seconds of the rate may come at once.
+	burstSeconds = 1.0
 	// smoothing weighs a new service time against the mean so far.
 	smoothing = 0.1
 	firstMean = 20.0
@@ -55,10 +55,10 @@
 	// Rate and Concurrency are the configured limits; 0 is no limit.
 	Rate        float64
 	Concurrency int
-	// Queue is how many may wait.
-	Queue int
-	// Room is the learnt limit; nil is none.
-	Room *Room
+	// MaxQueued is how many may wait.
+	MaxQueued int
+	// Adaptive is the learnt limit; nil is none.
+	Adaptive *AdaptiveLimiter
 
 	running int
 	line    line
@@ -71,16 +71,16 @@
 
 // Offer decides on a request. Requests that waited and can't start in time any more,
 // since this one goes before them, are returned as refused.
-func (l *Limiter) Offer(now clock.Millis, ask Ask) (decision Decision, refused []Decision) {
+func (l *Limiter) Offer(now clock.Millis, ask Request) (decision Decision, refused []Decision) {
 	if !l.earn(now) {
 		return l.describe(Decision{Verdict: Refuse, Reason: OverRate, RetryAfter: clock.Millis(1000/max(l.Rate, 1)) + leastWait}), nil
 	}
 	l.nextID++
-	if l.Room != nil {
+	if l.Adaptive != nil {
 		l.line.newest = true
-		ask.StartBy -= l.Room.CallTime()
+		ask.StartBy -= l.Adaptive.MeanLatency()
 	}
-	ticket := Ticket{ID: l.nextID, Ask: ask}
+	ticket := Ticket{ID: l.nextID, Request: ask}
 	if len(l.line.waiting) == 0 && l.take(now, l.line.isAhead(ask.Organisation)) {
 		l.line.pass(ask.Organisation)
 		return l.describe(Decision{Verdict: Start, Ticket: ticket, Reason: "there is room"}), nil
@@ -99,8 +99,8 @@
 
 func (l *Limiter) describe(d Decision) Decision {
 	d.Waiting = len(l.line.waiting)
-	if l.Room != nil {
-		d.Rate = l.Room.Rate()
+	if l.Adaptive != nil {
+		d.Rate = l.Adaptive.Rate()
 	}
 	return d
 }
@@ -115,12 +115,12 @@
 			continue
 		}
 		reason := TooLate
-		if l.Room != nil {
-			reason = NoRoom
+		if l.Adaptive != nil {
+			reason = NoCapacity
 		}
 		refused = append(refused, l.turnAway(now, at, wait, reason))
 	}
-	for len(l.line.waiting) > l.Queue {
+	for len(l.line.waiting) > l.MaxQueued {
 		last := len(l.line.waiting) - 1
 		refused = append(refused, l.turnAway(now, last, l.expected(now, last), QueueFull))
 	}
@@ -131,7 +131,7 @@
 	ahead := l.ahead(at)
 	gone := l.line.remove(at)
 	after := wait + leastWait
-	if l.Room != nil && l.Room.Rate() > 0 {
+	if l.Adaptive != nil && l.Adaptive.Rate() > 0 {
 		after = l.comeBack(now, ahead)
 	}
 	return l.describe(Decision{Verdict: Refuse, Ticket: gone, Reason: reason, RetryAfter: after})
@@ -139,9 +139,9 @@
 
 // Done ends a started request that took the given time and returns the
 // tickets that start now and those that can't start in time any more.
-func (l *Limiter) Done(now, took clock.Millis) (started []Ticket, refused []Decision) {
+func (l *Limiter) Done(now, duration clock.Millis) (started []Ticket, refused []Decision) {
 	l.running--
-	l.mean = l.meanTime()*(1-smoothing) + float64(took)*smoothing
+	l.mean = l.meanTime()*(1-smoothing) + float64(duration)*smoothing
 	return l.Advance(now)
 }
 
@@ -154,17 +154,17 @@
 	return started, refused
 }
 
-// Next returns when Advance should be called for the learnt rate; ok is false if nothing
+// NextAdvance returns when Advance should be called for the learnt rate; ok is false if nothing
 // waits for it.
-func (l *Limiter) Next(now clock.Millis) (at clock.Millis, ok bool) {
-	if l.Room == nil || len(l.line.waiting) == 0 {
+func (l *Limiter) NextAdvance(now clock.Millis) (at clock.Millis, ok bool) {
+	if l.Adaptive == nil || len(l.line.waiting) == 0 {
 		return 0, false
 	}
-	return now + max(l.Room.Wait(now, 1, l.ahead(0)), 1), true
+	return now + max(l.Adaptive.ExpectedWait(now, 1, l.ahead(0)), 1), true
 }
 
-// Leave removes a waiting ticket. It reports false if the ticket no longer waits.
-func (l *Limiter) Leave(ticket Ticket) bool {
+// Cancel removes a waiting ticket. It reports false if the ticket no longer waits.
+func (l *Limiter) Cancel(ticket Ticket) bool {
 	i := l.line.find(ticket.ID)
 	if i < 0 {
 		return false
@@ -189,7 +189,7 @@
 	if l.Concurrency > 0 && l.running >= l.Concurrency {
 		return false
 	}
-	if l.Room != nil && !l.Room.Take(now, ahead) {
+	if l.Adaptive != nil && !l.Adaptive.TryAcquire(now, ahead) {
 		return false
 	}
 	l.running++
@@ -200,7 +200,7 @@
 	if l.Rate <= 0 {
 		return true
 	}
-	most := max(l.Rate*burst, 1)
+	most := max(l.Rate*burstSeconds, 1)
 	if l.filled == 0 {
 		l.saved = most
 	} else {
@@ -231,16 +231,16 @@
 	if l.Concurrency > 0 {
 		wait = clock.Millis(l.meanTime() * float64(place) / float64(l.Concurrency))
 	}
-	if l.Room != nil {
-		wait = max(wait, l.Room.Wait(now, place, l.ahead(at)))
+	if l.Adaptive != nil {
+		wait = max(wait, l.Adaptive.ExpectedWait(now, place, l.ahead(at)))
 	}
 	return wait
 }
 
-// ComeBack returns when a caller should come back who was let in, but found the servers
+// RetryAfter returns when a caller should come back who was let in, but found the servers
 // full.
-func (l *Limiter) ComeBack(now clock.Millis, organisation ident.Organisation) clock.Millis {
-	if l.Room == nil || l.Room.Rate() == 0 {
+func (l *Limiter) RetryAfter(now clock.Millis, organisation ident.Organisation) clock.Millis {
+	if l.Adaptive == nil || l.Adaptive.Rate() == 0 {
 		return leastWait
 	}
 	return l.comeBack(now, l.line.isAhead(organisation))
@@ -252,5 +252,5 @@
 	if !ahead {
 		return soonest
 	}
-	return l.returns.after(now, l.Room.Rate())
+	return l.returns.after(now, l.Adaptive.Rate())
 }
--- a/kernel/admit/admit_test.go
+++ b/kernel/admit/admit_test.go
@@ -15,7 +15,7 @@
 }
 
 // until asks for nobody, by one deadline.
-func until(deadline clock.Millis) Ask { return Ask{StartBy: deadline, Until: deadline} }
+func until(deadline clock.Millis) Request { return Request{StartBy: deadline, Deadline: deadline} }
 
 func offer(l *Limiter, now, deadline clock.Millis) Decision {
 	d, _ := l.Offer(now, until(deadline))
@@ -24,7 +24,7 @@
 
 func TestLimiter(t *testing.T) {
 	t.Run("the earliest deadline goes first", func(t *testing.T) {
-		l := &Limiter{Rate: 1000, Concurrency: 1, Queue: 10}
+		l := &Limiter{Rate: 1000, Concurrency: 1, MaxQueued: 10}
 		assertVerdict(t, offer(l, 1, 1000), Start, "")
 		late := offer(l, 1, 900)
 		soon := offer(l, 1, 500)
@@ -35,7 +35,7 @@
 		}
 	})
 	t.Run("what can't be in time is refused at once", func(t *testing.T) {
-		l := &Limiter{Rate: 1000, Concurrency: 1, Queue: 100}
+		l := &Limiter{Rate: 1000, Concurrency: 1, MaxQueued: 100}
 		offer(l, 1, 1000)
 		for range 5 {
 			offer(l, 1, 1000)
@@ -58,28 +58,28 @@
 		}
 	})
 	t.Run("those whom an urgent one makes late are refused at once", func(t *testing.T) {
-		l := &Limiter{Rate: 1000, Concurrency: 1, Queue: 100}
+		l := &Limiter{Rate: 1000, Concurrency: 1, MaxQueued: 100}
 		offer(l, 1, 1000)
 		last := offer(l, 1, 21)
 		assertVerdict(t, last, Wait, "")
-		first, refused := l.Offer(1, Ask{StartBy: 500, Until: 20})
+		first, refused := l.Offer(1, Request{StartBy: 500, Deadline: 20})
 		assertVerdict(t, first, Wait, "")
 		if len(refused) != 1 || refused[0].Ticket.ID != last.Ticket.ID || refused[0].RetryAfter <= 0 {
 			t.Fatalf("refused %v", refused)
 		}
 	})
 	t.Run("over the rate and with a full queue", func(t *testing.T) {
-		l := &Limiter{Rate: 2, Concurrency: 10, Queue: 10}
+		l := &Limiter{Rate: 2, Concurrency: 10, MaxQueued: 10}
 		offer(l, 1, 1000)
 		offer(l, 1, 1000)
 		assertVerdict(t, offer(l, 1, 1000), Refuse, OverRate)
 		assertVerdict(t, offer(l, 1001, 2000), Start, "")
-		full := &Limiter{Rate: 100, Concurrency: 1, Queue: 0}
+		full := &Limiter{Rate: 100, Concurrency: 1, MaxQueued: 0}
 		offer(full, 1, 1000)
 		assertVerdict(t, offer(full, 1, 1000), Refuse, QueueFull)
 	})
 	t.Run("waiters whose deadline has passed are told so", func(t *testing.T) {
-		l := &Limiter{Rate: 100, Concurrency: 1, Queue: 5}
+		l := &Limiter{Rate: 100, Concurrency: 1, MaxQueued: 5}
 		offer(l, 1, 1000)
 		offer(l, 1, 50)
 		started, expired := l.Done(60, 59)
@@ -91,7 +91,7 @@
 
 func TestGate(t *testing.T) {
 	g := &Gate{Clock: clock.New()}
-	g.Limit(1000, 1, 5)
+	g.SetLimits(1000, 1, 5)
 	leave, _, err := g.Enter(context.Background(), until(g.Clock.Mono()+clock.Minute))
 	if err != nil {
 		t.Fatal(err)
--- a/kernel/admit/bytes.go
+++ b/kernel/admit/bytes.go
@@ -16,14 +16,14 @@
 	mostTargets = 4096
 )
 
-// Bytes is a budget for what is held in memory for callers: bodies that were read, and
+// MemoryBudget is a budget for what is held in memory for callers: bodies that were read, and
 // answers until their callers have read them. It answers callers who read slowly, or not at
 // all, and bring or ask for much: 40 of them held 608 MB in an instance that had 96. An
 // organisation may hold as much as is still free, so that one alone leaves half of the
 // budget to the others. Set Most before use; the rest is guarded by mu.
-type Bytes struct {
-	// Most is the budget; 0 is no limit.
-	Most int64
+type MemoryBudget struct {
+	// Limit is the budget; 0 is no limit.
+	Limit int64
 
 	mu   sync.Mutex
 	held int64
@@ -37,36 +37,36 @@
 // Target is what callers ask for.
 type Target struct{ Route, Path string }
 
-// Holding is what is held for one request. It is used by one goroutine.
-type Holding struct {
-	budget *Bytes
+// Reservation is what is held for one request. It is used by one goroutine.
+type Reservation struct {
+	budget *MemoryBudget
 	by     ident.Organisation
 	size   int64
 }
 
-// Take holds bytes for a request of an organisation. It reports false if these would be
+// Reserve holds bytes for a request of an organisation. It reports false if these would be
 // more than its share of the budget. On success the caller must call Free once.
-func (b *Bytes) Take(by ident.Organisation, size int64) (*Holding, bool) {
+func (b *MemoryBudget) Reserve(by ident.Organisation, size int64) (*Reservation, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.Most > 0 && size > smallBytes && b.by[by]+size > b.Most-b.held-size {
+	if b.Limit > 0 && size > smallBytes && b.by[by]+size > b.Limit-b.held-size {
 		return nil, false
 	}
-	h := &Holding{budget: b, by: by}
+	h := &Reservation{budget: b, by: by}
 	h.add(size)
 	return h, true
 }
 
-// Held returns how many bytes are held.
-func (b *Bytes) Held() int64 {
+// Reserved returns how many bytes are held.
+func (b *MemoryBudget) Reserved() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.held
 }
 
-// Expect returns the size that the answer to a target is expected to have: that of the last
+// ExpectedSize returns the size that the answer to a target is expected to have: that of the last
 // one, or the mean of its route's.
-func (b *Bytes) Expect(t Target) int64 {
+func (b *MemoryBudget) ExpectedSize(t Target) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if size, known := b.last[t]; known {
@@ -75,8 +75,8 @@
 	return int64(b.usual[t.Route])
 }
 
-// Learn notes the size of an answer.
-func (b *Bytes) Learn(t Target, size int64) {
+// RecordSize notes the size of an answer.
+func (b *MemoryBudget) RecordSize(t Target, size int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.usual == nil {
@@ -89,18 +89,18 @@
 	b.last[t] = size
 }
 
-// Set changes how many bytes are held: what is there is there.
-func (h *Holding) Set(size int64) {
+// Resize changes how many bytes are held: what is there is there.
+func (h *Reservation) Resize(size int64) {
 	h.budget.mu.Lock()
 	defer h.budget.mu.Unlock()
 	h.add(size - h.size)
 }
 
-// Free ends the holding.
-func (h *Holding) Free() { h.Set(0) }
+// Release ends the holding.
+func (h *Reservation) Release() { h.Resize(0) }
 
 // add changes the sums; the budget's mu is held.
-func (h *Holding) add(size int64) {
+func (h *Reservation) add(size int64) {
 	b := h.budget
 	if b.by == nil {
 		b.by = map[ident.Organisation]int64{}
--- a/kernel/admit/bytes_test.go
+++ b/kernel/admit/bytes_test.go
@@ -8,18 +8,18 @@
 
 const mib = 1 << 20
 
-func assertTaken(t *testing.T, b *Bytes, by ident.Organisation, size int64, want bool) *Holding {
+func assertTaken(t *testing.T, b *MemoryBudget, by ident.Organisation, size int64, want bool) *Reservation {
 	t.Helper()
-	h, ok := b.Take(by, size)
+	h, ok := b.Reserve(by, size)
 	if ok != want {
-		t.Fatalf("%d bytes for %s: taken %v, want %v; %d held", size, by, ok, want, b.Held())
+		t.Fatalf("%d bytes for %s: taken %v, want %v; %d held", size, by, ok, want, b.Reserved())
 	}
 	return h
 }
 
 func TestBytes(t *testing.T) {
 	t.Run("one organisation leaves half to the others", func(t *testing.T) {
-		b := &Bytes{Most: 16 * mib}
+		b := &MemoryBudget{Limit: 16 * mib}
 		for range 8 {
 			assertTaken(t, b, "a", mib, true)
 		}
@@ -28,26 +28,26 @@
 		assertTaken(t, b, "c", mib, true)
 	})
 	t.Run("what is small is always taken", func(t *testing.T) {
-		b := &Bytes{Most: mib}
+		b := &MemoryBudget{Limit: mib}
 		assertTaken(t, b, "a", mib/2, true)
 		assertTaken(t, b, "a", mib/2, false)
 		assertTaken(t, b, "a", smallBytes, true)
 	})
 	t.Run("what ends is free again", func(t *testing.T) {
-		b := &Bytes{Most: 2 * mib}
+		b := &MemoryBudget{Limit: 2 * mib}
 		h := assertTaken(t, b, "a", mib, true)
-		h.Set(2 * mib)
+		h.Resize(2 * mib)
 		assertTaken(t, b, "b", mib, false)
-		h.Free()
-		if b.Held() != 0 {
-			t.Fatalf("%d held", b.Held())
+		h.Release()
+		if b.Reserved() != 0 {
+			t.Fatalf("%d held", b.Reserved())
 		}
 		assertTaken(t, b, "b", mib, true)
 	})
 	t.Run("answers are expected to be as large as the last to the same target", func(t *testing.T) {
-		b := &Bytes{}
-		b.Learn(Target{Route: "r", Path: "/long"}, 10*mib)
-		if long, other := b.Expect(Target{Route: "r", Path: "/long"}), b.Expect(Target{Route: "r", Path: "/x"}); long != 10*mib || other != mib {
+		b := &MemoryBudget{}
+		b.RecordSize(Target{Route: "r", Path: "/long"}, 10*mib)
+		if long, other := b.ExpectedSize(Target{Route: "r", Path: "/long"}), b.ExpectedSize(Target{Route: "r", Path: "/x"}); long != 10*mib || other != mib {
 			t.Fatalf("%d and %d expected", long, other)
 		}
 	})
--- a/kernel/admit/gate.go
+++ b/kernel/admit/gate.go
@@ -27,8 +27,8 @@
 // fields before use. Its state is guarded by mu.
 type Gate struct {
 	Clock *clock.Clock
-	// Room is the learnt limit; nil is none.
-	Room *Room
+	// Adaptive is the learnt limit; nil is none.
+	Adaptive *AdaptiveLimiter
 
 	mu      sync.Mutex
 	limiter Limiter
@@ -36,14 +36,14 @@
 	timer   *time.Timer
 }
 
-// Limit sets the limits; requests that run or wait stay.
-func (g *Gate) Limit(rate float64, concurrency, queue int) {
+// SetLimits sets the limits; requests that run or wait stay.
+func (g *Gate) SetLimits(rate float64, concurrency, queue int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limiter.Rate = rate
 	g.limiter.Concurrency = concurrency
-	g.limiter.Queue = queue
-	g.limiter.Room = g.Room
+	g.limiter.MaxQueued = queue
+	g.limiter.Adaptive = g.Adaptive
 }
 
 // Load returns how many requests run and wait.
@@ -57,30 +57,30 @@
 func (g *Gate) Rate() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.Room == nil {
+	if g.Adaptive == nil {
 		return 0
 	}
-	return g.Room.Rate()
+	return g.Adaptive.Rate()
 }
 
-// Note learns from a server's answer.
-func (g *Gate) Note(s Signal) {
+// Observe learns from a server's answer.
+func (g *Gate) Observe(s Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Room.Note(g.Clock.Mono(), s)
+	g.Adaptive.Observe(g.Clock.Mono(), s)
 }
 
-// ComeBack returns when a caller should come back who was let in, but found the servers
+// RetryAfter returns when a caller should come back who was let in, but found the servers
 // full.
-func (g *Gate) ComeBack(organisation ident.Organisation) clock.Millis {
+func (g *Gate) RetryAfter(organisation ident.Organisation) clock.Millis {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.limiter.ComeBack(g.Clock.Mono(), organisation)
+	return g.limiter.RetryAfter(g.Clock.Mono(), organisation)
 }
 
 // Enter waits for the request's turn. On success the caller must call leave
 // once. The decision of a refusal tells when to come back.
-func (g *Gate) Enter(ctx context.Context, ask Ask) (leave func(), decision Decision, err error) {
+func (g *Gate) Enter(ctx context.Context, ask Request) (leave func(), decision Decision, err error) {
 	g.mu.Lock()
 	decision, refused := g.limiter.Offer(g.Clock.Mono(), ask)
 	var turn chan Decision
@@ -112,7 +112,7 @@
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
-	left := g.limiter.Leave(ticket)
+	left := g.limiter.Cancel(ticket)
 	delete(g.turns, ticket.ID)
 	g.mu.Unlock()
 	if !left {
@@ -120,9 +120,9 @@
 			g.done(g.Clock.Mono())
 		}
 	}
-	reason := deadlineNow
+	reason := deadlinePassed
 	if errors.Is(context.Cause(ctx), context.Canceled) {
-		reason = callerLeft
+		reason = callerCanceled
 	}
 	return Decision{Verdict: Refuse, Ticket: ticket, Reason: reason, RetryAfter: leastWait}
 }
@@ -139,7 +139,7 @@
 
 // arm has the queue advanced when the learnt rate allows its first request; mu is held.
 func (g *Gate) arm() {
-	at, ok := g.limiter.Next(g.Clock.Mono())
+	at, ok := g.limiter.NextAdvance(g.Clock.Mono())
 	if !ok {
 		return
 	}
--- a/kernel/admit/load_test.go
+++ b/kernel/admit/load_test.go
@@ -103,9 +103,9 @@
 	l.random = rand.New(rand.NewPCG(seed, 1))
 	l.result = map[ident.Organisation]*tally{}
 	for range loadInstances {
-		gate := &Limiter{Queue: 1024}
+		gate := &Limiter{MaxQueued: 1024}
 		if l.limited {
-			gate.Room = &Room{Slots: func() float64 { return 1.0 * loadServers * loadSlots / loadInstances }}
+			gate.Adaptive = &AdaptiveLimiter{SlotShare: func() float64 { return 1.0 * loadServers * loadSlots / loadInstances }}
 		}
 		l.gates = append(l.gates, gate)
 		l.turns = append(l.turns, map[int64]*call{})
@@ -164,7 +164,7 @@
 	}
 	c.tries = 0
 	gate := l.gates[c.instance]
-	decision, refused := gate.Offer(l.now, Ask{Organisation: c.organisation, StartBy: l.now + loadObjective - 2*loadWay, Until: c.until})
+	decision, refused := gate.Offer(l.now, Request{Organisation: c.organisation, StartBy: l.now + loadObjective - 2*loadWay, Deadline: c.until})
 	l.turns[c.instance][decision.Ticket.ID] = c
 	l.decide(c.instance, append(refused, decision))
 	l.next(c.instance)
@@ -186,7 +186,7 @@
 }
 
 func (l *load) next(instance int) {
-	at, ok := l.gates[instance].Next(l.now)
+	at, ok := l.gates[instance].NextAdvance(l.now)
 	if !ok {
 		return
 	}
@@ -264,8 +264,8 @@
 	l.seen[c.instance][at] = s.running + len(s.waiting)
 	gate := l.gates[c.instance]
 	gate.running--
-	if gate.Room != nil {
-		gate.Room.Note(l.now, Signal{Server: ident.BackendName(fmt.Sprint(at)), Shed: shed, Waiting: len(s.waiting), Slots: loadSlots, Took: l.now - c.sent, Objective: loadObjective})
+	if gate.Adaptive != nil {
+		gate.Adaptive.Observe(l.now, Signal{Server: ident.BackendName(fmt.Sprint(at)), Shed: shed, Waiting: len(s.waiting), Slots: loadSlots, Latency: l.now - c.sent, Objective: loadObjective})
 	}
 }
 
@@ -278,7 +278,7 @@
 	}
 	after := 100 * clock.Millis(1)
 	if l.limited {
-		after = l.gates[c.instance].ComeBack(l.now, c.organisation)
+		after = l.gates[c.instance].RetryAfter(l.now, c.organisation)
 	}
 	l.refuse(c, after)
 }
--- a/kernel/admit/queue.go
+++ b/kernel/admit/queue.go
@@ -8,21 +8,21 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Ask is what the queue goes by for one request.
-type Ask struct {
+// Request is what the queue goes by for one request.
+type Request struct {
 	// Organisation is whose request it is; those of nobody share as one organisation.
 	Organisation ident.Organisation
-	// Rank is its urgency, 0 first.
-	Rank int
+	// Priority is its urgency, 0 first.
+	Priority int
 	// StartBy is the latest start that is of use: later ones are refused.
 	StartBy clock.Millis
-	// Until is when the caller stops waiting.
-	Until clock.Millis
+	// Deadline is when the caller stops waiting.
+	Deadline clock.Millis
 }
 
 // Ticket stands for one request.
 type Ticket struct {
-	Ask
+	Request
 	ID int64
 	// start is its virtual start among the organisations of its rank.
 	start float64
@@ -100,18 +100,18 @@
 // before tells which of two requests of one organisation goes first.
 func (l *line) before(a, b Ticket) bool {
 	if l.newest {
-		return a.Until > b.Until
+		return a.Deadline > b.Deadline
 	}
-	return a.Until < b.Until
+	return a.Deadline < b.Deadline
 }
 
 // same tells whether two requests may change places.
 func (t *Ticket) same(other Ticket) bool {
-	return t.Organisation == other.Organisation && t.Rank == other.Rank
+	return t.Organisation == other.Organisation && t.Priority == other.Priority
 }
 
 func order(a, b Ticket) int {
-	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.start, b.start), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.start, b.start), cmp.Compare(a.ID, b.ID))
 }
 
 // pop starts the first request.
--- a/kernel/admit/room.go
+++ b/kernel/admit/room.go
@@ -58,18 +58,18 @@
 	sendBlend = 0.5
 )
 
-// Room is how much of a service this instance may use: a rate that is learnt from what
+// AdaptiveLimiter is how much of a service this instance may use: a rate that is learnt from what
 // servers tell with their answers. It answers a service that is asked for 1.05 to 5 times
 // what its servers do by many instances that don't know of each other: with the servers'
 // own queues as the only limit, 0.53 of what they could do was served within an objective
 // of 150 ms. It has no lock of its own.
-type Room struct {
-	// Slots returns this instance's even share of the servers' slots; 0 if it is not known.
-	Slots func() float64
-	// Uses tells whether a server is still used; nil is yes. What one that has left told
+type AdaptiveLimiter struct {
+	// SlotShare returns this instance's even share of the servers' slots; 0 if it is not known.
+	SlotShare func() float64
+	// InUse tells whether a server is still used; nil is yes. What one that has left told
 	// last would pass for room: 63 of 99 calls of a small organisation were in time when one
 	// of two servers left.
-	Uses func(ident.BackendName) bool
+	InUse func(ident.BackendName) bool
 
 	// rate is the limit in requests a second; 0 is none.
 	rate float64
@@ -103,8 +103,8 @@
 	// Waiting and Slots are what the server told; Slots is 0 if it told nothing. A server
 	// that sheds tells how long its queue is.
 	Waiting, Slots int
-	// Took is the time of the call, Objective the time that its caller wants it in.
-	Took, Objective clock.Millis
+	// Latency is the time of the call, Objective the time that its caller wants it in.
+	Latency, Objective clock.Millis
 }
 
 // waited returns the part of the call that was spent waiting at the server, if its queue
@@ -113,7 +113,7 @@
 	if s.Slots <= 0 {
 		return 0
 	}
-	return float64(s.Took) * float64(s.Waiting) / float64(s.Waiting+s.Slots)
+	return float64(s.Latency) * float64(s.Waiting) / float64(s.Waiting+s.Slots)
 }
 
 // mark returns how full the server is, from 0 to 1.
@@ -150,7 +150,7 @@
 
 // mark returns how full the servers are on average, from 0 to 1. One that is slow beside
 // others with room is no reason to send less, but to send elsewhere.
-func (r *Room) mark(now clock.Millis) float64 {
+func (r *AdaptiveLimiter) mark(now clock.Millis) float64 {
 	sum := 0.0
 	for name, t := range r.told {
 		if now-t.at > toldTerm {
@@ -163,15 +163,15 @@
 }
 
 // forget drops what was told by servers that are not used any more.
-func (r *Room) forget() {
-	if r.Uses == nil {
+func (r *AdaptiveLimiter) forget() {
+	if r.InUse == nil {
 		return
 	}
-	maps.DeleteFunc(r.told, func(name ident.BackendName, _ told) bool { return !r.Uses(name) })
+	maps.DeleteFunc(r.told, func(name ident.BackendName, _ told) bool { return !r.InUse(name) })
 }
 
-// Note learns from an answer.
-func (r *Room) Note(now clock.Millis, s Signal) {
+// Observe learns from an answer.
+func (r *AdaptiveLimiter) Observe(now clock.Millis, s Signal) {
 	r.adjust(now)
 	if r.told == nil {
 		r.told = map[ident.BackendName]told{}
@@ -197,8 +197,8 @@
 }
 
 // measure smooths the time of calls.
-func (r *Room) measure(s Signal) {
-	took := float64(s.Took)
+func (r *AdaptiveLimiter) measure(s Signal) {
+	took := float64(s.Latency)
 	work := took - s.waited()
 	if r.took == 0 {
 		r.took, r.work = took, work
@@ -207,19 +207,19 @@
 	r.work += tookBlend * (work - r.work)
 }
 
-// CallTime returns the time that a call takes at a server.
-func (r *Room) CallTime() clock.Millis { return clock.Millis(r.took) }
+// MeanLatency returns the time that a call takes at a server.
+func (r *AdaptiveLimiter) MeanLatency() clock.Millis { return clock.Millis(r.took) }
 
 // even returns the rate of an even share in requests a second; 0 if it is not known.
-func (r *Room) even() float64 {
-	if r.Slots == nil || r.work <= 0 {
+func (r *AdaptiveLimiter) even() float64 {
+	if r.SlotShare == nil || r.work <= 0 {
 		return 0
 	}
-	return r.Slots() / r.work * float64(clock.Second)
+	return r.SlotShare() / r.work * float64(clock.Second)
 }
 
 // adjust ends the period if it is over.
-func (r *Room) adjust(now clock.Millis) {
+func (r *AdaptiveLimiter) adjust(now clock.Millis) {
 	span := now - r.since
 	if span < adjustPeriod {
 		return
@@ -235,7 +235,7 @@
 }
 
 // change moves the rate by what the answers of a period told.
-func (r *Room) change(now, span clock.Millis) {
+func (r *AdaptiveLimiter) change(now, span clock.Millis) {
 	if now-r.marked > freeTerm {
 		r.rate = 0
 		return
@@ -250,9 +250,9 @@
 	r.rate = min(r.rate, 2*max(r.sending, r.even(), leastRate))
 }
 
-// Take takes the right to send one request now; it reports false if there is none. One of
+// TryAcquire takes the right to send one request now; it reports false if there is none. One of
 // an organisation that is ahead of its share leaves a turn for the others.
-func (r *Room) Take(now clock.Millis, ahead bool) bool {
+func (r *AdaptiveLimiter) TryAcquire(now clock.Millis, ahead bool) bool {
 	r.adjust(now)
 	if r.rate > 0 {
 		r.fill(now)
@@ -266,14 +266,14 @@
 }
 
 // fill saves up the turns that have come since it was last called.
-func (r *Room) fill(now clock.Millis) {
+func (r *AdaptiveLimiter) fill(now clock.Millis) {
 	most := 1 + keptTurns + r.rate*float64(burstTerm)/float64(clock.Second)
 	r.saved = min(most, r.saved+r.rate*float64(now-r.filled)/float64(clock.Second))
 	r.filled = now
 }
 
-// Wait returns how long the request at a place waits for its turn, from 1 on.
-func (r *Room) Wait(now clock.Millis, place int, ahead bool) clock.Millis {
+// ExpectedWait returns how long the request at a place waits for its turn, from 1 on.
+func (r *AdaptiveLimiter) ExpectedWait(now clock.Millis, place int, ahead bool) clock.Millis {
 	if r.rate == 0 {
 		return 0
 	}
@@ -286,4 +286,4 @@
 }
 
 // Rate returns the limit in requests a second; 0 is none.
-func (r *Room) Rate() float64 { return r.rate }
+func (r *AdaptiveLimiter) Rate() float64 { return r.rate }
