--- a/kernel/admit/admit.go
+++ b/kernel/admit/admit.go
@@ -43,10 +43,10 @@
 const (
 	// burstSeconds is how many seconds of the rate may come at once.
 	burstSeconds = 1.0
-	// smoothing weighs a new service time against the mean so far.
-	smoothing = 0.1
-	firstMean = 20.0
-	leastWait = 50 * clock.Millis(1)
+	// serviceTimeWeight weighs a new service time against the mean so far.
+	serviceTimeWeight = 0.1
+	initialServiceMillis = 20.0
+	baseRetryAfter = 50 * clock.Millis(1)
 )
 
 // Limiter holds the limits of one class, or of one service, at one instance. It has no
@@ -61,31 +61,31 @@
 	Adaptive *AdaptiveLimiter
 
 	running int
-	line    line
-	returns returns
-	saved   float64
-	filled  clock.Millis
-	mean    float64
+	queue    fairQueue
+	retries retrySchedule
+	tokens   float64
+	refilledAt  clock.Millis
+	meanServiceMillis    float64
 	nextID  int64
 }
 
 // Offer decides on a request. Requests that waited and can't start in time any more,
 // since this one goes before them, are returned as refused.
 func (l *Limiter) Offer(now clock.Millis, ask Request) (decision Decision, refused []Decision) {
-	if !l.earn(now) {
-		return l.describe(Decision{Verdict: Refuse, Reason: OverRate, RetryAfter: clock.Millis(1000/max(l.Rate, 1)) + leastWait}), nil
+	if !l.takeToken(now) {
+		return l.describe(Decision{Verdict: Refuse, Reason: OverRate, RetryAfter: clock.Millis(1000/max(l.Rate, 1)) + baseRetryAfter}), nil
 	}
 	l.nextID++
 	if l.Adaptive != nil {
-		l.line.newest = true
+		l.queue.newestFirst = true
 		ask.StartBy -= l.Adaptive.MeanLatency()
 	}
 	ticket := Ticket{ID: l.nextID, Request: ask}
-	if len(l.line.waiting) == 0 && l.take(now, l.line.isAhead(ask.Organisation)) {
-		l.line.pass(ask.Organisation)
+	if len(l.queue.waiting) == 0 && l.tryStart(now, l.queue.isOverShare(ask.Organisation)) {
+		l.queue.startImmediately(ask.Organisation)
 		return l.describe(Decision{Verdict: Start, Ticket: ticket, Reason: "there is room"}), nil
 	}
-	l.line.insert(ticket)
+	l.queue.insert(ticket)
 	decision = Decision{Verdict: Wait, Ticket: ticket, Reason: "waits for its turn"}
 	for _, r := range l.refuse(now) {
 		if r.Ticket.ID == ticket.ID {
@@ -98,7 +98,7 @@
 }
 
 func (l *Limiter) describe(d Decision) Decision {
-	d.Waiting = len(l.line.waiting)
+	d.Waiting = len(l.queue.waiting)
 	if l.Adaptive != nil {
 		d.Rate = l.Adaptive.Rate()
 	}
@@ -108,48 +108,48 @@
 // refuse takes out those who can't start in time, and those beyond the queue's end.
 func (l *Limiter) refuse(now clock.Millis) []Decision {
 	var refused []Decision
-	for at := 0; at < len(l.line.waiting); {
-		wait := l.expected(now, at)
-		if now+wait <= l.line.waiting[at].StartBy {
-			at++
+	for position := 0; position < len(l.queue.waiting); {
+		wait := l.expectedWait(now, position)
+		if now+wait <= l.queue.waiting[position].StartBy {
+			position++
 			continue
 		}
 		reason := TooLate
 		if l.Adaptive != nil {
 			reason = NoCapacity
 		}
-		refused = append(refused, l.turnAway(now, at, wait, reason))
+		refused = append(refused, l.refuseAt(now, position, wait, reason))
 	}
-	for len(l.line.waiting) > l.MaxQueued {
-		last := len(l.line.waiting) - 1
-		refused = append(refused, l.turnAway(now, last, l.expected(now, last), QueueFull))
+	for len(l.queue.waiting) > l.MaxQueued {
+		last := len(l.queue.waiting) - 1
+		refused = append(refused, l.refuseAt(now, last, l.expectedWait(now, last), QueueFull))
 	}
 	return refused
 }
 
-func (l *Limiter) turnAway(now clock.Millis, at int, wait clock.Millis, reason string) Decision {
-	ahead := l.ahead(at)
-	gone := l.line.remove(at)
-	after := wait + leastWait
+func (l *Limiter) refuseAt(now clock.Millis, position int, wait clock.Millis, reason string) Decision {
+	overShare := l.overShare(position)
+	removed := l.queue.remove(position)
+	retryAfter := wait + baseRetryAfter
 	if l.Adaptive != nil && l.Adaptive.Rate() > 0 {
-		after = l.comeBack(now, ahead)
+		retryAfter = l.retryAfter(now, overShare)
 	}
-	return l.describe(Decision{Verdict: Refuse, Ticket: gone, Reason: reason, RetryAfter: after})
+	return l.describe(Decision{Verdict: Refuse, Ticket: removed, Reason: reason, RetryAfter: retryAfter})
 }
 
 // Done ends a started request that took the given time and returns the
 // tickets that start now and those that can't start in time any more.
 func (l *Limiter) Done(now, duration clock.Millis) (started []Ticket, refused []Decision) {
 	l.running--
-	l.mean = l.meanTime()*(1-smoothing) + float64(duration)*smoothing
+	l.meanServiceMillis = l.serviceMillis()*(1-serviceTimeWeight) + float64(duration)*serviceTimeWeight
 	return l.Advance(now)
 }
 
 // Advance returns the tickets that start now and those that can't start in time any more.
 func (l *Limiter) Advance(now clock.Millis) (started []Ticket, refused []Decision) {
 	refused = l.refuse(now)
-	for len(l.line.waiting) > 0 && l.take(now, l.ahead(0)) {
-		started = append(started, l.line.pop())
+	for len(l.queue.waiting) > 0 && l.tryStart(now, l.overShare(0)) {
+		started = append(started, l.queue.pop())
 	}
 	return started, refused
 }
@@ -157,19 +157,19 @@
 // NextAdvance returns when Advance should be called for the learnt rate; ok is false if nothing
 // waits for it.
 func (l *Limiter) NextAdvance(now clock.Millis) (at clock.Millis, ok bool) {
-	if l.Adaptive == nil || len(l.line.waiting) == 0 {
+	if l.Adaptive == nil || len(l.queue.waiting) == 0 {
 		return 0, false
 	}
-	return now + max(l.Adaptive.ExpectedWait(now, 1, l.ahead(0)), 1), true
+	return now + max(l.Adaptive.ExpectedWait(now, 1, l.overShare(0)), 1), true
 }
 
 // Cancel removes a waiting ticket. It reports false if the ticket no longer waits.
 func (l *Limiter) Cancel(ticket Ticket) bool {
-	i := l.line.find(ticket.ID)
+	i := l.queue.find(ticket.ID)
 	if i < 0 {
 		return false
 	}
-	l.line.remove(i)
+	l.queue.remove(i)
 	return true
 }
 
@@ -180,59 +180,59 @@
 
 // Waiting returns how many requests wait.
 func (l *Limiter) Waiting() int {
-	return len(l.line.waiting)
+	return len(l.queue.waiting)
 }
 
-// take starts one request if both limits allow it. Ahead tells that its organisation is
+// tryStart starts one request if both limits allow it. Ahead tells that its organisation is
 // ahead of its share.
-func (l *Limiter) take(now clock.Millis, ahead bool) bool {
+func (l *Limiter) tryStart(now clock.Millis, overShare bool) bool {
 	if l.Concurrency > 0 && l.running >= l.Concurrency {
 		return false
 	}
-	if l.Adaptive != nil && !l.Adaptive.TryAcquire(now, ahead) {
+	if l.Adaptive != nil && !l.Adaptive.TryAcquire(now, overShare) {
 		return false
 	}
 	l.running++
 	return true
 }
 
-func (l *Limiter) earn(now clock.Millis) bool {
+func (l *Limiter) takeToken(now clock.Millis) bool {
 	if l.Rate <= 0 {
 		return true
 	}
-	most := max(l.Rate*burstSeconds, 1)
-	if l.filled == 0 {
-		l.saved = most
+	capacity := max(l.Rate*burstSeconds, 1)
+	if l.refilledAt == 0 {
+		l.tokens = capacity
 	} else {
-		l.saved = min(most, l.saved+l.Rate*float64(now-l.filled)/float64(clock.Second))
+		l.tokens = min(capacity, l.tokens+l.Rate*float64(now-l.refilledAt)/float64(clock.Second))
 	}
-	l.filled = now
-	if l.saved < 1 {
+	l.refilledAt = now
+	if l.tokens < 1 {
 		return false
 	}
-	l.saved--
+	l.tokens--
 	return true
 }
 
-func (l *Limiter) meanTime() float64 {
-	if l.mean == 0 {
-		return firstMean
+func (l *Limiter) serviceMillis() float64 {
+	if l.meanServiceMillis == 0 {
+		return initialServiceMillis
 	}
-	return l.mean
+	return l.meanServiceMillis
 }
 
-// ahead tells whether the organisation of a waiting request is ahead of its share.
-func (l *Limiter) ahead(at int) bool { return l.line.waiting[at].start > l.line.now }
+// overShare tells whether the organisation of a waiting request is overShare of its share.
+func (l *Limiter) overShare(position int) bool { return l.queue.waiting[position].virtualStart > l.queue.virtualTime }
 
-// expected returns how long a waiting request still waits.
-func (l *Limiter) expected(now clock.Millis, at int) clock.Millis {
-	place := at + 1
+// expectedWait returns how long a waiting request still waits.
+func (l *Limiter) expectedWait(now clock.Millis, index int) clock.Millis {
+	position := index + 1
 	var wait clock.Millis
 	if l.Concurrency > 0 {
-		wait = clock.Millis(l.meanTime() * float64(place) / float64(l.Concurrency))
+		wait = clock.Millis(l.serviceMillis() * float64(position) / float64(l.Concurrency))
 	}
 	if l.Adaptive != nil {
-		wait = max(wait, l.Adaptive.ExpectedWait(now, place, l.ahead(at)))
+		wait = max(wait, l.Adaptive.ExpectedWait(now, position, l.overShare(index)))
 	}
 	return wait
 }
@@ -241,16 +241,16 @@
 // full.
 func (l *Limiter) RetryAfter(now clock.Millis, organisation ident.Organisation) clock.Millis {
 	if l.Adaptive == nil || l.Adaptive.Rate() == 0 {
-		return leastWait
+		return baseRetryAfter
 	}
-	return l.comeBack(now, l.line.isAhead(organisation))
+	return l.retryAfter(now, l.queue.isOverShare(organisation))
 }
 
-// comeBack gives those whose organisation is ahead of its share the next free moment. The
+// retryAfter gives those whose organisation is ahead of its share the next free moment. The
 // others come to another instance at once: they are refused only where many of them meet.
-func (l *Limiter) comeBack(now clock.Millis, ahead bool) clock.Millis {
-	if !ahead {
-		return soonest
+func (l *Limiter) retryAfter(now clock.Millis, overShare bool) clock.Millis {
+	if !overShare {
+		return minRetryDelay
 	}
-	return l.returns.after(now, l.Adaptive.Rate())
+	return l.retries.assignDelay(now, l.Adaptive.Rate())
 }
--- a/kernel/admit/bytes.go
+++ b/kernel/admit/bytes.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// smallBytes is what is always taken: turning a small request away costs more than it
+	// alwaysAllowedBytes is what is always taken: turning a small request away costs more than it
 	// holds.
-	smallBytes = 16 << 10
-	// sizeBlend weighs a new answer's size against the mean so far.
-	sizeBlend = 0.1
-	// mostTargets bounds how many targets' sizes are remembered, some 100 bytes each.
-	mostTargets = 4096
+	alwaysAllowedBytes = 16 << 10
+	// sizeWeight weighs a new answer's size against the mean so far.
+	sizeWeight = 0.1
+	// maxTargets bounds how many targets' sizes are remembered, some 100 bytes each.
+	maxTargets = 4096
 )
 
 // MemoryBudget is a budget for what is held in memory for callers: bodies that were read, and
@@ -26,12 +26,12 @@
 	Limit int64
 
 	mu   sync.Mutex
-	held int64
-	by   map[ident.Organisation]int64
-	// usual is the mean size of a route's answers, last that of the last answer to a
+	reserved int64
+	byOrganisation   map[ident.Organisation]int64
+	// meanSizes is the mean size of a route's answers, last that of the last answer to a
 	// target, by route and target.
-	usual map[string]float64
-	last  map[Target]int64
+	meanSizes map[string]float64
+	lastSizes  map[Target]int64
 }
 
 // Target is what callers ask for.
@@ -40,19 +40,19 @@
 // Reservation is what is held for one request. It is used by one goroutine.
 type Reservation struct {
 	budget *MemoryBudget
-	by     ident.Organisation
+	organisation     ident.Organisation
 	size   int64
 }
 
 // Reserve holds bytes for a request of an organisation. It reports false if these would be
 // more than its share of the budget. On success the caller must call Free once.
-func (b *MemoryBudget) Reserve(by ident.Organisation, size int64) (*Reservation, bool) {
+func (b *MemoryBudget) Reserve(organisation ident.Organisation, size int64) (*Reservation, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.Limit > 0 && size > smallBytes && b.by[by]+size > b.Limit-b.held-size {
+	if b.Limit > 0 && size > alwaysAllowedBytes && b.byOrganisation[organisation]+size > b.Limit-b.reserved-size {
 		return nil, false
 	}
-	h := &Reservation{budget: b, by: by}
+	h := &Reservation{budget: b, organisation: organisation}
 	h.add(size)
 	return h, true
 }
@@ -61,7 +61,7 @@
 func (b *MemoryBudget) Reserved() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.held
+	return b.reserved
 }
 
 // ExpectedSize returns the size that the answer to a target is expected to have: that of the last
@@ -69,24 +69,24 @@
 func (b *MemoryBudget) ExpectedSize(t Target) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if size, known := b.last[t]; known {
+	if size, known := b.lastSizes[t]; known {
 		return size
 	}
-	return int64(b.usual[t.Route])
+	return int64(b.meanSizes[t.Route])
 }
 
 // RecordSize notes the size of an answer.
 func (b *MemoryBudget) RecordSize(t Target, size int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.usual == nil {
-		b.usual = map[string]float64{}
+	if b.meanSizes == nil {
+		b.meanSizes = map[string]float64{}
 	}
-	b.usual[t.Route] += sizeBlend * (float64(size) - b.usual[t.Route])
-	if b.last == nil || len(b.last) >= mostTargets {
-		b.last = map[Target]int64{}
+	b.meanSizes[t.Route] += sizeWeight * (float64(size) - b.meanSizes[t.Route])
+	if b.lastSizes == nil || len(b.lastSizes) >= maxTargets {
+		b.lastSizes = map[Target]int64{}
 	}
-	b.last[t] = size
+	b.lastSizes[t] = size
 }
 
 // Resize changes how many bytes are held: what is there is there.
@@ -102,12 +102,12 @@
 // add changes the sums; the budget's mu is held.
 func (h *Reservation) add(size int64) {
 	b := h.budget
-	if b.by == nil {
-		b.by = map[ident.Organisation]int64{}
+	if b.byOrganisation == nil {
+		b.byOrganisation = map[ident.Organisation]int64{}
 	}
 	h.size += size
-	b.held += size
-	if b.by[h.by] += size; b.by[h.by] == 0 {
-		delete(b.by, h.by)
+	b.reserved += size
+	if b.byOrganisation[h.organisation] += size; b.byOrganisation[h.organisation] == 0 {
+		delete(b.byOrganisation, h.organisation)
 	}
 }
--- a/kernel/admit/bytes_test.go
+++ b/kernel/admit/bytes_test.go
@@ -31,7 +31,7 @@
 		b := &MemoryBudget{Limit: mib}
 		assertTaken(t, b, "a", mib/2, true)
 		assertTaken(t, b, "a", mib/2, false)
-		assertTaken(t, b, "a", smallBytes, true)
+		assertTaken(t, b, "a", alwaysAllowedBytes, true)
 	})
 	t.Run("what ends is free again", func(t *testing.T) {
 		b := &MemoryBudget{Limit: 2 * mib}
--- a/kernel/admit/gate.go
+++ b/kernel/admit/gate.go
@@ -32,7 +32,7 @@
 
 	mu      sync.Mutex
 	limiter Limiter
-	turns   map[int64]chan Decision
+	waiters   map[int64]chan Decision
 	timer   *time.Timer
 }
 
@@ -83,19 +83,19 @@
 func (g *Gate) Enter(ctx context.Context, ask Request) (leave func(), decision Decision, err error) {
 	g.mu.Lock()
 	decision, refused := g.limiter.Offer(g.Clock.Mono(), ask)
-	var turn chan Decision
+	var decided chan Decision
 	if decision.Verdict == Wait {
-		turn = make(chan Decision, 1)
-		if g.turns == nil {
-			g.turns = map[int64]chan Decision{}
+		decided = make(chan Decision, 1)
+		if g.waiters == nil {
+			g.waiters = map[int64]chan Decision{}
 		}
-		g.turns[decision.Ticket.ID] = turn
+		g.waiters[decision.Ticket.ID] = decided
 	}
-	g.tell(refused)
-	g.arm()
+	g.deliver(refused)
+	g.scheduleAdvance()
 	g.mu.Unlock()
 	if decision.Verdict == Wait {
-		decision = g.await(ctx, decision.Ticket, turn)
+		decision = g.await(ctx, decision.Ticket, decided)
 	}
 	if decision.Verdict == Refuse {
 		return nil, decision, fault.New("admit.Enter", Refused, decision.Reason)
@@ -105,18 +105,18 @@
 }
 
 // await returns the decision on a ticket that waits.
-func (g *Gate) await(ctx context.Context, ticket Ticket, turn chan Decision) Decision {
+func (g *Gate) await(ctx context.Context, ticket Ticket, decided chan Decision) Decision {
 	select {
-	case decision := <-turn:
+	case decision := <-decided:
 		return decision
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
-	left := g.limiter.Cancel(ticket)
-	delete(g.turns, ticket.ID)
+	canceled := g.limiter.Cancel(ticket)
+	delete(g.waiters, ticket.ID)
 	g.mu.Unlock()
-	if !left {
-		if decision := <-turn; decision.Verdict == Start {
+	if !canceled {
+		if decision := <-decided; decision.Verdict == Start {
 			g.done(g.Clock.Mono())
 		}
 	}
@@ -124,7 +124,7 @@
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		reason = callerCanceled
 	}
-	return Decision{Verdict: Refuse, Ticket: ticket, Reason: reason, RetryAfter: leastWait}
+	return Decision{Verdict: Refuse, Ticket: ticket, Reason: reason, RetryAfter: baseRetryAfter}
 }
 
 func (g *Gate) done(started clock.Millis) {
@@ -132,49 +132,49 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	turns, refused := g.limiter.Done(now, now-started)
-	g.start(turns)
-	g.tell(refused)
-	g.arm()
+	g.startTickets(turns)
+	g.deliver(refused)
+	g.scheduleAdvance()
 }
 
-// arm has the queue advanced when the learnt rate allows its first request; mu is held.
-func (g *Gate) arm() {
+// scheduleAdvance has the queue advanced when the learnt rate allows its first request; mu is held.
+func (g *Gate) scheduleAdvance() {
 	at, ok := g.limiter.NextAdvance(g.Clock.Mono())
 	if !ok {
 		return
 	}
-	span := at - g.Clock.Mono()
+	delay := at - g.Clock.Mono()
 	if g.timer == nil {
-		g.timer = g.Clock.AfterFunc(span, g.advance)
+		g.timer = g.Clock.AfterFunc(delay, g.advance)
 		return
 	}
-	g.timer.Reset(span.Duration())
+	g.timer.Reset(delay.Duration())
 }
 
 func (g *Gate) advance() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	turns, refused := g.limiter.Advance(g.Clock.Mono())
-	g.start(turns)
-	g.tell(refused)
-	g.arm()
+	started, refused := g.limiter.Advance(g.Clock.Mono())
+	g.startTickets(started)
+	g.deliver(refused)
+	g.scheduleAdvance()
 }
 
-// start tells tickets that their turn has come; mu is held.
-func (g *Gate) start(tickets []Ticket) {
+// startTickets tells tickets that their turn has come; mu is held.
+func (g *Gate) startTickets(tickets []Ticket) {
 	decisions := make([]Decision, 0, len(tickets))
 	for _, t := range tickets {
 		decisions = append(decisions, g.limiter.describe(Decision{Verdict: Start, Ticket: t, Reason: "its turn has come"}))
 	}
-	g.tell(decisions)
+	g.deliver(decisions)
 }
 
-// tell hands decisions to those who wait for them; mu is held.
-func (g *Gate) tell(decisions []Decision) {
+// deliver hands decisions to those who wait for them; mu is held.
+func (g *Gate) deliver(decisions []Decision) {
 	for _, d := range decisions {
-		if turn, ok := g.turns[d.Ticket.ID]; ok {
-			turn <- d
-			delete(g.turns, d.Ticket.ID)
+		if decided, ok := g.waiters[d.Ticket.ID]; ok {
+			decided <- d
+			delete(g.waiters, d.Ticket.ID)
 		}
 	}
 }
--- a/kernel/admit/load_test.go
+++ b/kernel/admit/load_test.go
@@ -21,13 +21,13 @@
 	loadServers   = 4
 	loadSlots     = 6
 	loadQueue     = 24
-	loadWork      = 25.0
+	loadServiceMillis      = 25.0
 	loadObjective = 150 * clock.Millis(1)
 	loadDeadline  = 2 * clock.Second
-	loadWay       = 3 * clock.Millis(1)
+	loadNetworkDelay       = 3 * clock.Millis(1)
 	slowPeriod    = 600 * clock.Millis(1)
 	slowTimes     = 2.5
-	loadMost      = loadServers * loadSlots / loadWork * 1000
+	loadMost      = loadServers * loadSlots / loadServiceMillis * 1000
 )
 
 // load plays calls through limiters, or straight to the servers.
@@ -164,7 +164,7 @@
 	}
 	c.tries = 0
 	gate := l.gates[c.instance]
-	decision, refused := gate.Offer(l.now, Request{Organisation: c.organisation, StartBy: l.now + loadObjective - 2*loadWay, Deadline: c.until})
+	decision, refused := gate.Offer(l.now, Request{Organisation: c.organisation, StartBy: l.now + loadObjective - 2*loadNetworkDelay, Deadline: c.until})
 	l.turns[c.instance][decision.Ticket.ID] = c
 	l.decide(c.instance, append(refused, decision))
 	l.next(c.instance)
@@ -211,7 +211,7 @@
 	}
 	c.returned = true
 	t.came++
-	l.after(min(max(after, 1), (c.until-l.now)/3)+2*loadWay, func() { l.enter(c) })
+	l.after(min(max(after, 1), (c.until-l.now)/3)+2*loadNetworkDelay, func() { l.enter(c) })
 }
 
 // send brings a call to the less loaded of two servers, as far as the instance knows.
@@ -229,7 +229,7 @@
 		s.arrived++
 		run := func() {
 			s.running++
-			work := loadWork * l.slowness(at) * math.Exp(l.random.NormFloat64()*0.5-0.125)
+			work := loadServiceMillis * l.slowness(at) * math.Exp(l.random.NormFloat64()*0.5-0.125)
 			l.after(clock.Millis(math.Round(work)), func() {
 				s.running--
 				if len(s.waiting) > 0 {
@@ -286,7 +286,7 @@
 func (l *load) served(c *call, at int) {
 	l.note(c, at, false)
 	t := l.result[c.organisation]
-	switch took := l.now + 2*loadWay - c.began; {
+	switch took := l.now + 2*loadNetworkDelay - c.began; {
 	case took <= loadObjective:
 		t.inTime++
 	case l.now < c.until:
--- a/kernel/admit/room.go
+++ b/kernel/admit/room.go
@@ -11,51 +11,51 @@
 	// adjustPeriod is the pause between two changes of the rate: some two calls at
 	// servers whose work takes 25 ms, so that a change shows before the next.
 	adjustPeriod = 100 * clock.Millis(1)
-	// steepest is the part of the rate that one period takes away when all its answers
+	// maxDecrease is the part of the rate that one period takes away when all its answers
 	// told of full queues. Over TestRoomIsUsed's loads 0.89 of what the servers do was served
 	// in time; with 0.2 it was 0.87, as the rates swing.
-	steepest = 0.1
-	// shedSteepest is what sheds take away beside: full servers have no time to turn callers
+	maxDecrease = 0.1
+	// shedDecrease is what sheds take away beside: full servers have no time to turn callers
 	// away while the rate falls by small steps. With 0.2 a fifth more is shed at five times
 	// the load. Following the rate of what servers took did worse: few answers tell it badly,
 	// and four instances stayed at a third of what the servers do.
-	shedSteepest = 0.3
-	// riseShare is the part of the rate, or of an even share if that is more, by which the
+	shedDecrease = 0.3
+	// increaseFraction is the part of the rate, or of an even share if that is more, by which the
 	// rate rises in one period, so that half of what the servers do is regained in a
 	// second, and instances with less than their share gain on the others.
-	riseShare = 0.05
-	// engageMark is how full the servers must be on average before there is a limit: more
+	increaseFraction = 0.05
+	// limitThreshold is how full the servers must be on average before there is a limit: more
 	// than the half at which the rate neither falls nor rises. With a limit from the first
 	// sign of any server's queue on, 62 instances served 0.67 in time at 0.8 times the load
 	// where one server in five is slow at a time, with a half 0.82, with this one 0.86, and
 	// 0.89 without any limit. With 0.8 a tenth less is in time at twice the load.
-	engageMark = 0.6
-	// nearEnd is the part of a server's queue from which on it counts as getting full, once
+	limitThreshold = 0.6
+	// nearFullFraction is the part of a server's queue from which on it counts as getting full, once
 	// a shed has told where the queue ends: a short one is full long before the objective
 	// is at risk.
-	nearEnd = 0.5
-	// toldHalfLife is the age at which what a server told counts half: at 16 calls a
+	nearFullFraction = 0.5
+	// reportHalfLife is the age at which what a server told counts half: at 16 calls a
 	// second each of four servers tells four times a second. Beyond toldTerm it may be gone.
-	toldHalfLife = 1 * clock.Second
-	toldTerm     = 2 * clock.Second
-	// freeTerm is how long after the servers were last full the rate is lifted.
-	freeTerm = 1 * clock.Second
+	reportHalfLife = 1 * clock.Second
+	reportExpiry     = 2 * clock.Second
+	// liftDelay is how long after the servers were last full the rate is lifted.
+	liftDelay = 1 * clock.Second
 	// The share of the objective that waiting at a server may take: from the first on the
 	// rate falls, at the second it falls steepest. Work, ways and the wait for a turn
 	// need the rest.
-	firstWait, mostWait = 1.0 / 6, 1.0 / 2
-	// burstTerm is how much of the rate may be saved while nobody asks.
-	burstTerm = 60 * clock.Millis(1)
-	// keptTurns is how many turns stay ready for organisations that are not ahead of their
+	lowWaitFraction, highWaitFraction = 1.0 / 6, 1.0 / 2
+	// burstWindow is how much of the rate may be saved while nobody asks.
+	burstWindow = 60 * clock.Millis(1)
+	// reservedTokens is how many turns stay ready for organisations that are not ahead of their
 	// share: at 16 calls a second the next turn is 60 ms away, and their callers want an
 	// answer in 150.
-	keptTurns = 1
-	// leastRate keeps an instance asking, so that it learns when there is room again.
-	leastRate = 1.0
-	// tookBlend weighs a new time of a call against the mean so far.
-	tookBlend = 0.1
-	// sendBlend weighs the sends of one period against the rate of sending so far.
-	sendBlend = 0.5
+	reservedTokens = 1
+	// minRate keeps an instance asking, so that it learns when there is room again.
+	minRate = 1.0
+	// latencyWeight weighs a new time of a call against the mean so far.
+	latencyWeight = 0.1
+	// sendRateWeight weighs the sends of one period against the rate of sending so far.
+	sendRateWeight = 0.5
 )
 
 // AdaptiveLimiter is how much of a service this instance may use: a rate that is learnt from what
@@ -73,25 +73,25 @@
 
 	// rate is the limit in requests a second; 0 is none.
 	rate float64
-	// saved are the turns that have come and were not taken, as of filled.
-	saved  float64
-	filled clock.Millis
-	// told is what each server told last.
-	told map[ident.BackendName]told
+	// tokens are the turns that have come and were not taken, as of filled.
+	tokens  float64
+	refilledAt clock.Millis
+	// reports is what each server reports last.
+	reports map[ident.BackendName]report
 	// Of the period that began at since: answers, how full each found the servers on
 	// average, added up, and how many of them were sheds.
 	answers int
-	marks   float64
+	congestionSum   float64
 	sheds   int
-	since   clock.Millis
-	// marked is when the servers were last known to be full.
-	marked clock.Millis
-	// took is the smoothed time of calls, work the part of it that was not spent waiting at
+	periodStart   clock.Millis
+	// lastCongested is when the servers were last known to be full.
+	lastCongested clock.Millis
+	// meanLatency is the smoothed time of calls, meanWork the part of it that was not spent waiting at
 	// the server.
-	took, work float64
+	meanLatency, meanWork float64
 	// sent counts the sends of the period, sending is their smoothed rate a second.
 	sent    int
-	sending float64
+	sendRate float64
 }
 
 // Signal is what one answer of a server tells of the room there.
@@ -107,180 +107,180 @@
 	Latency, Objective clock.Millis
 }
 
-// waited returns the part of the call that was spent waiting at the server, if its queue
+// queueTime returns the part of the call that was spent waiting at the server, if its queue
 // has not changed.
-func (s Signal) waited() float64 {
+func (s Signal) queueTime() float64 {
 	if s.Slots <= 0 {
 		return 0
 	}
 	return float64(s.Latency) * float64(s.Waiting) / float64(s.Waiting+s.Slots)
 }
 
-// mark returns how full the server is, from 0 to 1.
-func (s Signal) mark() float64 {
+// congestion returns how full the server is, from 0 to 1.
+func (s Signal) congestion() float64 {
 	if s.Shed {
 		return 1
 	}
 	if s.Objective <= 0 {
 		return 0
 	}
-	part := s.waited() / float64(s.Objective)
-	return min(max((part-firstWait)/(mostWait-firstWait), 0), 1)
+	waitFraction := s.queueTime() / float64(s.Objective)
+	return min(max((waitFraction-lowWaitFraction)/(highWaitFraction-lowWaitFraction), 0), 1)
 }
 
-// told is how full a server was when it last told.
-type told struct {
-	mark float64
+// report is how full a server was when it last report.
+type report struct {
+	congestion float64
 	at   clock.Millis
-	// end is how many waited when it last turned a request away; 0 is not known.
-	end int
+	// queueLimit is how many waited when it last turned a request away; 0 is not known.
+	queueLimit int
 }
 
-// after returns what is known once a server has answered.
-func (t told) after(now clock.Millis, s Signal) told {
+// updated returns what is known once a server has answered.
+func (t report) updated(now clock.Millis, s Signal) report {
 	if s.Shed {
-		t.end = s.Waiting
+		t.queueLimit = s.Waiting
 	}
-	t.at, t.mark = now, s.mark()
-	if t.end > 0 {
-		t.mark = max(t.mark, min(float64(s.Waiting)/float64(t.end)-nearEnd, 1-nearEnd)/(1-nearEnd))
+	t.at, t.congestion = now, s.congestion()
+	if t.queueLimit > 0 {
+		t.congestion = max(t.congestion, min(float64(s.Waiting)/float64(t.queueLimit)-nearFullFraction, 1-nearFullFraction)/(1-nearFullFraction))
 	}
 	return t
 }
 
-// mark returns how full the servers are on average, from 0 to 1. One that is slow beside
+// congestion returns how full the servers are on average, from 0 to 1. One that is slow beside
 // others with room is no reason to send less, but to send elsewhere.
-func (r *AdaptiveLimiter) mark(now clock.Millis) float64 {
+func (r *AdaptiveLimiter) congestion(now clock.Millis) float64 {
 	sum := 0.0
-	for name, t := range r.told {
-		if now-t.at > toldTerm {
-			delete(r.told, name)
+	for name, t := range r.reports {
+		if now-t.at > reportExpiry {
+			delete(r.reports, name)
 			continue
 		}
-		sum += t.mark * float64(toldHalfLife) / float64(toldHalfLife+now-t.at)
+		sum += t.congestion * float64(reportHalfLife) / float64(reportHalfLife+now-t.at)
 	}
-	return sum / float64(max(len(r.told), 1))
+	return sum / float64(max(len(r.reports), 1))
 }
 
-// forget drops what was told by servers that are not used any more.
-func (r *AdaptiveLimiter) forget() {
+// dropUnusedServers drops what was told by servers that are not used any more.
+func (r *AdaptiveLimiter) dropUnusedServers() {
 	if r.InUse == nil {
 		return
 	}
-	maps.DeleteFunc(r.told, func(name ident.BackendName, _ told) bool { return !r.InUse(name) })
+	maps.DeleteFunc(r.reports, func(name ident.BackendName, _ report) bool { return !r.InUse(name) })
 }
 
 // Observe learns from an answer.
 func (r *AdaptiveLimiter) Observe(now clock.Millis, s Signal) {
-	r.adjust(now)
-	if r.told == nil {
-		r.told = map[ident.BackendName]told{}
+	r.endPeriod(now)
+	if r.reports == nil {
+		r.reports = map[ident.BackendName]report{}
 	}
-	r.told[s.Server] = r.told[s.Server].after(now, s)
-	mark := r.mark(now)
+	r.reports[s.Server] = r.reports[s.Server].updated(now, s)
+	congestion := r.congestion(now)
 	r.answers++
-	r.marks += mark
+	r.congestionSum += congestion
 	if !s.Shed {
-		r.measure(s)
+		r.updateLatency(s)
 	}
-	if mark < engageMark {
+	if congestion < limitThreshold {
 		return
 	}
-	r.marked = now
+	r.lastCongested = now
 	if r.rate == 0 {
-		r.rate = max(r.sending, float64(r.sent)*float64(clock.Second)/float64(adjustPeriod), leastRate)
-		r.saved, r.filled = 0, now
+		r.rate = max(r.sendRate, float64(r.sent)*float64(clock.Second)/float64(adjustPeriod), minRate)
+		r.tokens, r.refilledAt = 0, now
 	}
 	if s.Shed {
 		r.sheds++
 	}
 }
 
-// measure smooths the time of calls.
-func (r *AdaptiveLimiter) measure(s Signal) {
-	took := float64(s.Latency)
-	work := took - s.waited()
-	if r.took == 0 {
-		r.took, r.work = took, work
+// updateLatency smooths the time of calls.
+func (r *AdaptiveLimiter) updateLatency(s Signal) {
+	latency := float64(s.Latency)
+	work := latency - s.queueTime()
+	if r.meanLatency == 0 {
+		r.meanLatency, r.meanWork = latency, work
 	}
-	r.took += tookBlend * (took - r.took)
-	r.work += tookBlend * (work - r.work)
+	r.meanLatency += latencyWeight * (latency - r.meanLatency)
+	r.meanWork += latencyWeight * (work - r.meanWork)
 }
 
 // MeanLatency returns the time that a call takes at a server.
-func (r *AdaptiveLimiter) MeanLatency() clock.Millis { return clock.Millis(r.took) }
+func (r *AdaptiveLimiter) MeanLatency() clock.Millis { return clock.Millis(r.meanLatency) }
 
-// even returns the rate of an even share in requests a second; 0 if it is not known.
-func (r *AdaptiveLimiter) even() float64 {
-	if r.SlotShare == nil || r.work <= 0 {
+// fairRate returns the rate of an fairRate share in requests a second; 0 if it is not known.
+func (r *AdaptiveLimiter) fairRate() float64 {
+	if r.SlotShare == nil || r.meanWork <= 0 {
 		return 0
 	}
-	return r.SlotShare() / r.work * float64(clock.Second)
+	return r.SlotShare() / r.meanWork * float64(clock.Second)
 }
 
-// adjust ends the period if it is over.
-func (r *AdaptiveLimiter) adjust(now clock.Millis) {
-	span := now - r.since
+// endPeriod ends the period if it is over.
+func (r *AdaptiveLimiter) endPeriod(now clock.Millis) {
+	span := now - r.periodStart
 	if span < adjustPeriod {
 		return
 	}
 	perSecond := float64(clock.Second) / float64(span)
-	weight := min(sendBlend*float64(span)/float64(adjustPeriod), 1)
-	r.sending += weight * (float64(r.sent)*perSecond - r.sending)
-	r.forget()
+	weight := min(sendRateWeight*float64(span)/float64(adjustPeriod), 1)
+	r.sendRate += weight * (float64(r.sent)*perSecond - r.sendRate)
+	r.dropUnusedServers()
 	if r.rate > 0 {
-		r.change(now, span)
+		r.updateRate(now, span)
 	}
-	r.marks, r.answers, r.sheds, r.sent, r.since = 0, 0, 0, 0, now
+	r.congestionSum, r.answers, r.sheds, r.sent, r.periodStart = 0, 0, 0, 0, now
 }
 
-// change moves the rate by what the answers of a period told.
-func (r *AdaptiveLimiter) change(now, span clock.Millis) {
-	if now-r.marked > freeTerm {
+// updateRate moves the rate by what the answers of a period told.
+func (r *AdaptiveLimiter) updateRate(now, span clock.Millis) {
+	if now-r.lastCongested > liftDelay {
 		r.rate = 0
 		return
 	}
 	periods := min(float64(span)/float64(adjustPeriod), 2)
 	if r.answers > 0 {
-		r.rate *= 1 - (steepest*r.marks+shedSteepest*float64(r.sheds))/float64(r.answers)
+		r.rate *= 1 - (maxDecrease*r.congestionSum+shedDecrease*float64(r.sheds))/float64(r.answers)
 	}
-	r.rate += periods * riseShare * max(r.even(), r.rate, leastRate)
-	r.rate = max(r.rate, leastRate)
+	r.rate += periods * increaseFraction * max(r.fairRate(), r.rate, minRate)
+	r.rate = max(r.rate, minRate)
 	// What is not used is not saved up for the next burst.
-	r.rate = min(r.rate, 2*max(r.sending, r.even(), leastRate))
+	r.rate = min(r.rate, 2*max(r.sendRate, r.fairRate(), minRate))
 }
 
 // TryAcquire takes the right to send one request now; it reports false if there is none. One of
 // an organisation that is ahead of its share leaves a turn for the others.
-func (r *AdaptiveLimiter) TryAcquire(now clock.Millis, ahead bool) bool {
-	r.adjust(now)
+func (r *AdaptiveLimiter) TryAcquire(now clock.Millis, overShare bool) bool {
+	r.endPeriod(now)
 	if r.rate > 0 {
-		r.fill(now)
-		if r.saved < 1 || (ahead && r.saved < 1+keptTurns) {
+		r.refill(now)
+		if r.tokens < 1 || (overShare && r.tokens < 1+reservedTokens) {
 			return false
 		}
-		r.saved--
+		r.tokens--
 	}
 	r.sent++
 	return true
 }
 
-// fill saves up the turns that have come since it was last called.
-func (r *AdaptiveLimiter) fill(now clock.Millis) {
-	most := 1 + keptTurns + r.rate*float64(burstTerm)/float64(clock.Second)
-	r.saved = min(most, r.saved+r.rate*float64(now-r.filled)/float64(clock.Second))
-	r.filled = now
+// refill saves up the turns that have come since it was last called.
+func (r *AdaptiveLimiter) refill(now clock.Millis) {
+	capacity := 1 + reservedTokens + r.rate*float64(burstWindow)/float64(clock.Second)
+	r.tokens = min(capacity, r.tokens+r.rate*float64(now-r.refilledAt)/float64(clock.Second))
+	r.refilledAt = now
 }
 
 // ExpectedWait returns how long the request at a place waits for its turn, from 1 on.
-func (r *AdaptiveLimiter) ExpectedWait(now clock.Millis, place int, ahead bool) clock.Millis {
+func (r *AdaptiveLimiter) ExpectedWait(now clock.Millis, position int, overShare bool) clock.Millis {
 	if r.rate == 0 {
 		return 0
 	}
-	r.fill(now)
-	missing := float64(place) - r.saved
-	if ahead {
-		missing += keptTurns
+	r.refill(now)
+	missing := float64(position) - r.tokens
+	if overShare {
+		missing += reservedTokens
 	}
 	return clock.Millis(max(missing, 0) / r.rate * float64(clock.Second))
 }
