--- a/kernel/admit/admit.go
+++ b/kernel/admit/admit.go
@@ -1,6 +1,5 @@
-// Package admit decides which callers' requests start, wait or are refused at
-// once. A request whose deadline can't be met is refused when that is known, not
-// when the deadline has passed.
+// Package admit decides which callers' requests start, wait or are refused. It refuses a
+// request as soon as its deadline cannot be met, without waiting for the deadline to pass.
 package admit
 
 import (
@@ -18,59 +17,59 @@
 	Refuse Verdict = "Refuse"
 )
 
-// Reasons of refusals.
+// Reasons of refusals. They are also values of log fields.
 const (
-	OverRate    = "the class is over its rate"
-	QueueFull   = "the class's queue is full"
-	TooLate     = "the deadline would pass in the queue"
-	NoCapacity      = "the servers have no room in time"
+	OverRate       = "the class is over its rate"
+	QueueFull      = "the class's queue is full"
+	TooLate        = "the deadline would pass in the queue"
+	NoCapacity     = "the servers have no room in time"
 	deadlinePassed = "the deadline passed in the queue"
-	callerCanceled  = "the caller has left the queue"
+	callerCanceled = "the caller has left the queue"
 )
 
-// Decision is a verdict with its reason and, for a refusal, when to come back.
+// Decision is a verdict with its reason. RetryAfter is set for refusals only.
 type Decision struct {
 	Verdict    Verdict
 	Ticket     Ticket
 	Reason     string
 	RetryAfter clock.Millis
-	// Waiting is how many requests stand in the queue, Rate the learnt rate in requests
-	// a second, 0 if there is none.
+	// Waiting is the number of queued requests. Rate is the rate limit that the
+	// AdaptiveLimiter has learned, in requests per second; 0 is no limit.
 	Waiting int
 	Rate    float64
 }
 
 const (
-	// burstSeconds is how many seconds of the rate may come at once.
+	// burstSeconds is the capacity of the token bucket, in seconds of the rate.
 	burstSeconds = 1.0
-	// serviceTimeWeight weighs a new service time against the mean so far.
-	serviceTimeWeight = 0.1
+	// serviceTimeWeight is the weight of a new service time in the moving average.
+	serviceTimeWeight    = 0.1
 	initialServiceMillis = 20.0
-	baseRetryAfter = 50 * clock.Millis(1)
+	baseRetryAfter       = 50 * clock.Millis(1)
 )
 
-// Limiter holds the limits of one class, or of one service, at one instance. It has no
-// lock of its own.
+// Limiter applies the limits of one class of callers, or of one service, at one instance.
+// It is not safe for concurrent use.
 type Limiter struct {
-	// Rate and Concurrency are the configured limits; 0 is no limit.
+	// Rate (requests per second) and Concurrency are the configured limits; 0 is no limit.
 	Rate        float64
 	Concurrency int
-	// MaxQueued is how many may wait.
+	// MaxQueued is the maximum number of waiting requests.
 	MaxQueued int
-	// Adaptive is the learnt limit; nil is none.
+	// Adaptive is the learned rate limit; nil is no limit.
 	Adaptive *AdaptiveLimiter
 
-	running int
-	queue    fairQueue
-	retries retrySchedule
-	tokens   float64
-	refilledAt  clock.Millis
-	meanServiceMillis    float64
-	nextID  int64
+	running           int
+	queue             fairQueue
+	retries           retrySchedule
+	tokens            float64
+	refilledAt        clock.Millis
+	meanServiceMillis float64
+	nextID            int64
 }
 
-// Offer decides on a request. Requests that waited and can't start in time any more,
-// since this one goes before them, are returned as refused.
+// Offer decides on a request at the time now. If the request overtakes waiting ones that
+// then cannot start in time, Offer returns these as refused.
 func (l *Limiter) Offer(now clock.Millis, ask Request) (decision Decision, refused []Decision) {
 	if !l.takeToken(now) {
 		return l.describe(Decision{Verdict: Refuse, Reason: OverRate, RetryAfter: clock.Millis(1000/max(l.Rate, 1)) + baseRetryAfter}), nil
@@ -105,7 +104,7 @@
 	return d
 }
 
-// refuse takes out those who can't start in time, and those beyond the queue's end.
+// refuse removes the requests that cannot start in time and those beyond MaxQueued.
 func (l *Limiter) refuse(now clock.Millis) []Decision {
 	var refused []Decision
 	for position := 0; position < len(l.queue.waiting); {
@@ -137,15 +136,16 @@
 	return l.describe(Decision{Verdict: Refuse, Ticket: removed, Reason: reason, RetryAfter: retryAfter})
 }
 
-// Done ends a started request that took the given time and returns the
-// tickets that start now and those that can't start in time any more.
+// Done ends a started request that ran for the given duration. It returns the tickets that
+// start now and the decisions on those that cannot start in time.
 func (l *Limiter) Done(now, duration clock.Millis) (started []Ticket, refused []Decision) {
 	l.running--
 	l.meanServiceMillis = l.serviceMillis()*(1-serviceTimeWeight) + float64(duration)*serviceTimeWeight
 	return l.Advance(now)
 }
 
-// Advance returns the tickets that start now and those that can't start in time any more.
+// Advance returns the tickets that start now and the decisions on those that cannot start
+// in time.
 func (l *Limiter) Advance(now clock.Millis) (started []Ticket, refused []Decision) {
 	refused = l.refuse(now)
 	for len(l.queue.waiting) > 0 && l.tryStart(now, l.overShare(0)) {
@@ -154,8 +154,8 @@
 	return started, refused
 }
 
-// NextAdvance returns when Advance should be called for the learnt rate; ok is false if nothing
-// waits for it.
+// NextAdvance returns the time at which the learned rate allows the first waiting request,
+// when the caller should call Advance. ok is false if no request waits for the rate.
 func (l *Limiter) NextAdvance(now clock.Millis) (at clock.Millis, ok bool) {
 	if l.Adaptive == nil || len(l.queue.waiting) == 0 {
 		return 0, false
@@ -163,7 +163,7 @@
 	return now + max(l.Adaptive.ExpectedWait(now, 1, l.overShare(0)), 1), true
 }
 
-// Cancel removes a waiting ticket. It reports false if the ticket no longer waits.
+// Cancel removes a waiting ticket. It returns false if the ticket no longer waits.
 func (l *Limiter) Cancel(ticket Ticket) bool {
 	i := l.queue.find(ticket.ID)
 	if i < 0 {
@@ -173,18 +173,18 @@
 	return true
 }
 
-// Running returns how many requests run.
+// Running returns the number of running requests.
 func (l *Limiter) Running() int {
 	return l.running
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of queued requests.
 func (l *Limiter) Waiting() int {
 	return len(l.queue.waiting)
 }
 
-// tryStart starts one request if both limits allow it. Ahead tells that its organisation is
-// ahead of its share.
+// tryStart starts one request if both limits allow it. overShare is whether its
+// organisation is over its fair share.
 func (l *Limiter) tryStart(now clock.Millis, overShare bool) bool {
 	if l.Concurrency > 0 && l.running >= l.Concurrency {
 		return false
@@ -221,10 +221,12 @@
 	return l.meanServiceMillis
 }
 
-// overShare tells whether the organisation of a waiting request is overShare of its share.
-func (l *Limiter) overShare(position int) bool { return l.queue.waiting[position].virtualStart > l.queue.virtualTime }
+// overShare reports whether the organisation of a waiting request is over its fair share.
+func (l *Limiter) overShare(position int) bool {
+	return l.queue.waiting[position].virtualStart > l.queue.virtualTime
+}
 
-// expectedWait returns how long a waiting request still waits.
+// expectedWait returns how long the waiting request at an index (0 first) will still wait.
 func (l *Limiter) expectedWait(now clock.Millis, index int) clock.Millis {
 	position := index + 1
 	var wait clock.Millis
@@ -237,8 +239,8 @@
 	return wait
 }
 
-// RetryAfter returns when a caller should come back who was let in, but found the servers
-// full.
+// RetryAfter returns the retry delay for a caller that was admitted but found the backend
+// servers full.
 func (l *Limiter) RetryAfter(now clock.Millis, organisation ident.Organisation) clock.Millis {
 	if l.Adaptive == nil || l.Adaptive.Rate() == 0 {
 		return baseRetryAfter
@@ -246,8 +248,8 @@
 	return l.retryAfter(now, l.queue.isOverShare(organisation))
 }
 
-// retryAfter gives those whose organisation is ahead of its share the next free moment. The
-// others come to another instance at once: they are refused only where many of them meet.
+// retryAfter spreads the retries of organisations that are over their fair share at the
+// learned rate. Others may retry at once, since another instance probably has capacity.
 func (l *Limiter) retryAfter(now clock.Millis, overShare bool) clock.Millis {
 	if !overShare {
 		return minRetryDelay
--- a/kernel/admit/admit_test.go
+++ b/kernel/admit/admit_test.go
@@ -14,11 +14,13 @@
 	}
 }
 
-// until asks for nobody, by one deadline.
-func until(deadline clock.Millis) Request { return Request{StartBy: deadline, Deadline: deadline} }
+// requestUntil returns a request without an organisation that must start by its deadline.
+func requestUntil(deadline clock.Millis) Request {
+	return Request{StartBy: deadline, Deadline: deadline}
+}
 
 func offer(l *Limiter, now, deadline clock.Millis) Decision {
-	d, _ := l.Offer(now, until(deadline))
+	d, _ := l.Offer(now, requestUntil(deadline))
 	return d
 }
 
@@ -42,7 +44,7 @@
 		}
 		d := offer(l, 1, 400)
 		assertVerdict(t, d, Wait, "")
-		// Behind the one that runs, 14 start within 300 ms at 20 ms each.
+		// 15 requests can start within 300 ms at 20 ms each.
 		refused := 0
 		for range 20 {
 			if d = offer(l, 1, 301); d.Verdict == Refuse {
@@ -50,11 +52,11 @@
 				refused++
 			}
 			if d.Verdict == Refuse && d.RetryAfter <= 0 {
-				t.Fatal("a refusal must say when to come back")
+				t.Fatal("refusal without a RetryAfter")
 			}
 		}
 		if refused != 5 || l.Waiting() != 15+1+5 {
-			t.Fatalf("%d refused, %d wait", refused, l.Waiting())
+			t.Fatalf("%d refused, %d waiting", refused, l.Waiting())
 		}
 	})
 	t.Run("those whom an urgent one makes late are refused at once", func(t *testing.T) {
@@ -92,14 +94,14 @@
 func TestGate(t *testing.T) {
 	g := &Gate{Clock: clock.New()}
 	g.SetLimits(1000, 1, 5)
-	leave, _, err := g.Enter(context.Background(), until(g.Clock.Mono()+clock.Minute))
+	leave, _, err := g.Enter(context.Background(), requestUntil(g.Clock.Mono()+clock.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, _, err := g.Enter(ctx, until(g.Clock.Mono()+clock.Minute)); err == nil {
-		t.Fatal("a caller that has gone was let in")
+	if _, _, err := g.Enter(ctx, requestUntil(g.Clock.Mono()+clock.Minute)); err == nil {
+		t.Fatal("a canceled caller was admitted")
 	}
 	leave()
 	running, waiting := g.Load()
--- a/kernel/admit/bytes.go
+++ b/kernel/admit/bytes.go
@@ -7,45 +7,46 @@
 )
 
 const (
-	// alwaysAllowedBytes is what is always taken: turning a small request away costs more than it
-	// holds.
+	// alwaysAllowedBytes is the size up to which a reservation always succeeds: refusing
+	// such a request costs more than the memory that it needs.
 	alwaysAllowedBytes = 16 << 10
-	// sizeWeight weighs a new answer's size against the mean so far.
+	// sizeWeight is the weight of a new response's size in the moving average.
 	sizeWeight = 0.1
-	// maxTargets bounds how many targets' sizes are remembered, some 100 bytes each.
+	// maxTargets bounds the entries of lastSizes, some 100 bytes each.
 	maxTargets = 4096
 )
 
-// MemoryBudget is a budget for what is held in memory for callers: bodies that were read, and
-// answers until their callers have read them. It answers callers who read slowly, or not at
-// all, and bring or ask for much: 40 of them held 608 MB in an instance that had 96. An
-// organisation may hold as much as is still free, so that one alone leaves half of the
-// budget to the others. Set Most before use; the rest is guarded by mu.
+// MemoryBudget limits the memory that an instance holds for its callers: request bodies,
+// and responses until their callers have read them. It protects the instance against
+// callers that read slowly while they ask for large responses. A reservation succeeds if
+// the organisation then holds no more than what stays free, so one organisation alone
+// takes at most half of the budget. Set Limit before use. The other fields are guarded
+// by mu.
 type MemoryBudget struct {
-	// Limit is the budget; 0 is no limit.
+	// Limit is the budget in bytes; 0 is no limit.
 	Limit int64
 
-	mu   sync.Mutex
-	reserved int64
-	byOrganisation   map[ident.Organisation]int64
-	// meanSizes is the mean size of a route's answers, last that of the last answer to a
-	// target, by route and target.
+	mu             sync.Mutex
+	reserved       int64
+	byOrganisation map[ident.Organisation]int64
+	// meanSizes holds the moving average of each route's response sizes in bytes, lastSizes
+	// the size of the last response to each target.
 	meanSizes map[string]float64
-	lastSizes  map[Target]int64
+	lastSizes map[Target]int64
 }
 
-// Target is what callers ask for.
+// Target is what a request asks for: the name of its route and the path of its URL.
 type Target struct{ Route, Path string }
 
-// Reservation is what is held for one request. It is used by one goroutine.
+// Reservation is the memory reserved for one request. Only one goroutine may use it.
 type Reservation struct {
-	budget *MemoryBudget
-	organisation     ident.Organisation
-	size   int64
+	budget       *MemoryBudget
+	organisation ident.Organisation
+	size         int64
 }
 
-// Reserve holds bytes for a request of an organisation. It reports false if these would be
-// more than its share of the budget. On success the caller must call Free once.
+// Reserve reserves size bytes for a request of an organisation. It returns false if the
+// organisation would exceed its share. On success the caller must call Release once.
 func (b *MemoryBudget) Reserve(organisation ident.Organisation, size int64) (*Reservation, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,15 +58,15 @@
 	return h, true
 }
 
-// Reserved returns how many bytes are held.
+// Reserved returns the total number of reserved bytes.
 func (b *MemoryBudget) Reserved() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reserved
 }
 
-// ExpectedSize returns the size that the answer to a target is expected to have: that of the last
-// one, or the mean of its route's.
+// ExpectedSize returns the expected size in bytes of the response to a target: the size of
+// its last response, or else the mean of its route.
 func (b *MemoryBudget) ExpectedSize(t Target) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,7 +76,7 @@
 	return int64(b.meanSizes[t.Route])
 }
 
-// RecordSize notes the size of an answer.
+// RecordSize records the size in bytes of a response.
 func (b *MemoryBudget) RecordSize(t Target, size int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,17 +90,17 @@
 	b.lastSizes[t] = size
 }
 
-// Resize changes how many bytes are held: what is there is there.
+// Resize sets the reservation to size bytes. It always succeeds, also beyond the budget.
 func (h *Reservation) Resize(size int64) {
 	h.budget.mu.Lock()
 	defer h.budget.mu.Unlock()
 	h.add(size - h.size)
 }
 
-// Release ends the holding.
+// Release gives the reserved memory back.
 func (h *Reservation) Release() { h.Resize(0) }
 
-// add changes the sums; the budget's mu is held.
+// add changes the sums by size bytes; the caller holds the budget's mu.
 func (h *Reservation) add(size int64) {
 	b := h.budget
 	if b.byOrganisation == nil {
--- a/kernel/admit/bytes_test.go
+++ b/kernel/admit/bytes_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	h, ok := b.Reserve(by, size)
 	if ok != want {
-		t.Fatalf("%d bytes for %s: taken %v, want %v; %d held", size, by, ok, want, b.Reserved())
+		t.Fatalf("%d bytes for %s: reserved %v, want %v; %d reserved in total", size, by, ok, want, b.Reserved())
 	}
 	return h
 }
@@ -40,7 +40,7 @@
 		assertTaken(t, b, "b", mib, false)
 		h.Release()
 		if b.Reserved() != 0 {
-			t.Fatalf("%d held", b.Reserved())
+			t.Fatalf("%d bytes still reserved", b.Reserved())
 		}
 		assertTaken(t, b, "b", mib, true)
 	})
@@ -48,7 +48,7 @@
 		b := &MemoryBudget{}
 		b.RecordSize(Target{Route: "r", Path: "/long"}, 10*mib)
 		if long, other := b.ExpectedSize(Target{Route: "r", Path: "/long"}), b.ExpectedSize(Target{Route: "r", Path: "/x"}); long != 10*mib || other != mib {
-			t.Fatalf("%d and %d expected", long, other)
+			t.Fatalf("expected sizes %d and %d", long, other)
 		}
 	})
 }
--- a/kernel/admit/gate.go
+++ b/kernel/admit/gate.go
@@ -23,20 +23,21 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Gate lets requests of one class, or to one service, through a Limiter. Set the exported
-// fields before use. Its state is guarded by mu.
+// Gate makes requests of one class, or to one service, wait until a Limiter admits them.
+// Set the exported fields before use. The other fields are guarded by mu.
 type Gate struct {
 	Clock *clock.Clock
-	// Adaptive is the learnt limit; nil is none.
+	// Adaptive is the learned rate limit; nil is no limit. SetLimits applies it.
 	Adaptive *AdaptiveLimiter
 
 	mu      sync.Mutex
 	limiter Limiter
-	waiters   map[int64]chan Decision
+	waiters map[int64]chan Decision
 	timer   *time.Timer
 }
 
-// SetLimits sets the limits; requests that run or wait stay.
+// SetLimits sets the limits: rate in requests per second, the numbers of running and of
+// waiting requests. Requests that already run or wait are not affected.
 func (g *Gate) SetLimits(rate float64, concurrency, queue int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -46,14 +47,14 @@
 	g.limiter.Adaptive = g.Adaptive
 }
 
-// Load returns how many requests run and wait.
+// Load returns the numbers of running and of waiting requests.
 func (g *Gate) Load() (running, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.limiter.Running(), g.limiter.Waiting()
 }
 
-// Rate returns the learnt rate in requests a second; 0 if there is none.
+// Rate returns the learned rate limit in requests per second; 0 is no limit.
 func (g *Gate) Rate() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,23 +64,24 @@
 	return g.Adaptive.Rate()
 }
 
-// Observe learns from a server's answer.
+// Observe updates the learned rate limit from a backend server's response. Adaptive must
+// not be nil.
 func (g *Gate) Observe(s Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.Adaptive.Observe(g.Clock.Mono(), s)
 }
 
-// RetryAfter returns when a caller should come back who was let in, but found the servers
-// full.
+// RetryAfter returns the retry delay for a caller that was admitted but found the backend
+// servers full.
 func (g *Gate) RetryAfter(organisation ident.Organisation) clock.Millis {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.limiter.RetryAfter(g.Clock.Mono(), organisation)
 }
 
-// Enter waits for the request's turn. On success the caller must call leave
-// once. The decision of a refusal tells when to come back.
+// Enter waits until the request may start. On success the caller must call leave once. On
+// a refusal it returns an error of kind Refused and the decision with its RetryAfter.
 func (g *Gate) Enter(ctx context.Context, ask Request) (leave func(), decision Decision, err error) {
 	g.mu.Lock()
 	decision, refused := g.limiter.Offer(g.Clock.Mono(), ask)
@@ -104,7 +106,7 @@
 	return func() { g.done(started) }, decision, nil
 }
 
-// await returns the decision on a ticket that waits.
+// await returns the decision on a waiting ticket. It cancels the ticket when ctx ends.
 func (g *Gate) await(ctx context.Context, ticket Ticket, decided chan Decision) Decision {
 	select {
 	case decision := <-decided:
@@ -127,17 +129,18 @@
 	return Decision{Verdict: Refuse, Ticket: ticket, Reason: reason, RetryAfter: baseRetryAfter}
 }
 
-func (g *Gate) done(started clock.Millis) {
+func (g *Gate) done(startedAt clock.Millis) {
 	now := g.Clock.Mono()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	turns, refused := g.limiter.Done(now, now-started)
-	g.startTickets(turns)
+	started, refused := g.limiter.Done(now, now-startedAt)
+	g.startTickets(started)
 	g.deliver(refused)
 	g.scheduleAdvance()
 }
 
-// scheduleAdvance has the queue advanced when the learnt rate allows its first request; mu is held.
+// scheduleAdvance sets the timer to the time at which the learned rate allows the first
+// waiting request; the caller holds mu.
 func (g *Gate) scheduleAdvance() {
 	at, ok := g.limiter.NextAdvance(g.Clock.Mono())
 	if !ok {
@@ -160,7 +163,7 @@
 	g.scheduleAdvance()
 }
 
-// startTickets tells tickets that their turn has come; mu is held.
+// startTickets delivers a Start decision on each ticket; the caller holds mu.
 func (g *Gate) startTickets(tickets []Ticket) {
 	decisions := make([]Decision, 0, len(tickets))
 	for _, t := range tickets {
@@ -169,7 +172,7 @@
 	g.deliver(decisions)
 }
 
-// deliver hands decisions to those who wait for them; mu is held.
+// deliver sends decisions to the goroutines that wait for them; the caller holds mu.
 func (g *Gate) deliver(decisions []Decision) {
 	for _, d := range decisions {
 		if decided, ok := g.waiters[d.Ticket.ID]; ok {
--- a/kernel/admit/load_test.go
+++ b/kernel/admit/load_test.go
@@ -12,56 +12,56 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// The load of these tests: instances that don't know of each other before a few servers
-// with short queues, callers with an objective far below their deadline who come back
-// once after a refusal. The sizes are those of the smallest room per instance that the
-// users' deployments have.
+// The simulated deployment: instances that don't know of each other share a few backend
+// servers with short queues. Callers want an answer within loadObjective, far below their
+// deadline, and retry once after a refusal. The share of the slots per instance is the
+// smallest among the users' deployments.
 const (
-	loadInstances = 62
-	loadServers   = 4
-	loadSlots     = 6
-	loadQueue     = 24
-	loadServiceMillis      = 25.0
-	loadObjective = 150 * clock.Millis(1)
-	loadDeadline  = 2 * clock.Second
-	loadNetworkDelay       = 3 * clock.Millis(1)
-	slowPeriod    = 600 * clock.Millis(1)
-	slowTimes     = 2.5
-	loadMost      = loadServers * loadSlots / loadServiceMillis * 1000
+	loadInstances     = 62
+	loadServers       = 4
+	loadSlots         = 6
+	loadQueue         = 24
+	loadServiceMillis = 25.0
+	loadObjective     = 150 * clock.Millis(1)
+	loadDeadline      = 2 * clock.Second
+	loadNetworkDelay  = 3 * clock.Millis(1)
+	slowPeriod        = 600 * clock.Millis(1)
+	slowFactor        = 2.5
+	loadCapacity      = loadServers * loadSlots / loadServiceMillis * 1000
 )
 
-// load plays calls through limiters, or straight to the servers.
-type load struct {
+// simulation runs calls through limiters, or straight to the backend servers.
+type simulation struct {
 	limited bool
 	rate    func(at clock.Millis) float64
-	// slow has one server in five do everything slowTimes slower, changing all the time.
+	// slow makes one server in five slower by slowFactor, a different one in each slowPeriod.
 	slow bool
-	// senders is how many of the instances callers come to; 0 is all.
+	// senders is the number of instances that receive calls; 0 is all.
 	senders int
-	// big is how many times the share of each other organisation the first one sends.
+	// big is the load of organisation "big" as a multiple of each other organisation's share.
 	big           float64
 	organisations int
 
-	seed    uint64
-	random  *rand.Rand
-	events  events
-	now     clock.Millis
-	gates   []*Limiter
-	turns   []map[int64]*call
-	servers []*server
-	seen    [][]int
-	result  map[ident.Organisation]*tally
+	seed      uint64
+	random    *rand.Rand
+	events    events
+	now       clock.Millis
+	limiters  []*Limiter
+	pending   []map[int64]*call
+	servers   []*server
+	knownLoad [][]int
+	tallies   map[ident.Organisation]*tally
 }
 
-// tally counts what the calls of an organisation came to.
-type tally struct{ calls, inTime, late, refused, came, refusedAgain int }
+// tally counts the outcomes of an organisation's calls.
+type tally struct{ calls, inTime, late, refused, retried, refusedAgain int }
 
 type call struct {
-	began, sent, until clock.Millis
-	instance           int
-	organisation       ident.Organisation
-	returned           bool
-	tries              int
+	began, sent, deadline clock.Millis
+	instance              int
+	organisation          ident.Organisation
+	isRetry               bool
+	tries                 int
 }
 
 type server struct {
@@ -93,105 +93,107 @@
 
 var sequence int
 
-func (l *load) after(span clock.Millis, do func()) {
+func (l *simulation) after(span clock.Millis, do func()) {
 	sequence++
 	heap.Push(&l.events, event{at: l.now + max(span, 0), seq: sequence, do: do})
 }
 
-// play runs until a time and returns the tallies of calls that began from a time on.
-func (l *load) play(seed uint64, from, to clock.Millis) tally {
+// run simulates until the time to and returns the tally of all calls. Calls that begin
+// before the time from count under the organisation "before".
+func (l *simulation) run(seed uint64, from, to clock.Millis) tally {
 	l.random = rand.New(rand.NewPCG(seed, 1))
-	l.result = map[ident.Organisation]*tally{}
+	l.tallies = map[ident.Organisation]*tally{}
 	for range loadInstances {
-		gate := &Limiter{MaxQueued: 1024}
+		limiter := &Limiter{MaxQueued: 1024}
 		if l.limited {
-			gate.Adaptive = &AdaptiveLimiter{SlotShare: func() float64 { return 1.0 * loadServers * loadSlots / loadInstances }}
+			limiter.Adaptive = &AdaptiveLimiter{SlotShare: func() float64 { return 1.0 * loadServers * loadSlots / loadInstances }}
 		}
-		l.gates = append(l.gates, gate)
-		l.turns = append(l.turns, map[int64]*call{})
-		l.seen = append(l.seen, make([]int, loadServers))
+		l.limiters = append(l.limiters, limiter)
+		l.pending = append(l.pending, map[int64]*call{})
+		l.knownLoad = append(l.knownLoad, make([]int, loadServers))
 	}
 	for range loadServers {
 		l.servers = append(l.servers, &server{})
 	}
-	l.arrive(from)
+	l.scheduleArrival(from)
 	for len(l.events) > 0 && l.events[0].at < to {
 		e, _ := heap.Pop(&l.events).(event)
 		l.now = e.at
 		e.do()
 	}
 	var all tally
-	for _, t := range l.result {
+	for _, t := range l.tallies {
 		all.calls += t.calls
 		all.inTime += t.inTime
 		all.late += t.late
 		all.refused += t.refused
-		all.came += t.came
+		all.retried += t.retried
 		all.refusedAgain += t.refusedAgain
 	}
 	return all
 }
 
-func (l *load) arrive(from clock.Millis) {
+func (l *simulation) scheduleArrival(from clock.Millis) {
 	span := l.random.ExpFloat64() * 1000 / l.rate(l.now)
 	l.after(clock.Millis(math.Round(span)), func() {
-		c := &call{began: l.now, until: l.now + loadDeadline, organisation: l.whose()}
+		c := &call{began: l.now, deadline: l.now + loadDeadline, organisation: l.whose()}
 		if l.now < from {
 			c.organisation = "before"
 		}
-		if l.result[c.organisation] == nil {
-			l.result[c.organisation] = &tally{}
+		if l.tallies[c.organisation] == nil {
+			l.tallies[c.organisation] = &tally{}
 		}
-		l.result[c.organisation].calls++
+		l.tallies[c.organisation].calls++
 		l.enter(c)
-		l.arrive(from)
+		l.scheduleArrival(from)
 	})
 }
 
-func (l *load) whose() ident.Organisation {
+func (l *simulation) whose() ident.Organisation {
 	if l.organisations == 0 || l.random.Float64() < l.big/(l.big+float64(l.organisations)) {
 		return "big"
 	}
 	return ident.Organisation(fmt.Sprint(l.random.IntN(l.organisations)))
 }
 
-// enter brings a call to an instance; a third of them get half of the callers.
-func (l *load) enter(c *call) {
+// enter sends a call to an instance. The first third of the instances get half of the
+// calls, so the load is uneven.
+func (l *simulation) enter(c *call) {
 	senders := cmp.Or(l.senders, loadInstances)
 	c.instance = l.random.IntN(senders)
 	if l.random.Float64() < 0.25 {
 		c.instance = l.random.IntN(senders / 3)
 	}
 	c.tries = 0
-	gate := l.gates[c.instance]
-	decision, refused := gate.Offer(l.now, Request{Organisation: c.organisation, StartBy: l.now + loadObjective - 2*loadNetworkDelay, Deadline: c.until})
-	l.turns[c.instance][decision.Ticket.ID] = c
+	limiter := l.limiters[c.instance]
+	decision, refused := limiter.Offer(l.now, Request{Organisation: c.organisation, StartBy: l.now + loadObjective - 2*loadNetworkDelay, Deadline: c.deadline})
+	l.pending[c.instance][decision.Ticket.ID] = c
 	l.decide(c.instance, append(refused, decision))
 	l.next(c.instance)
 }
 
-func (l *load) decide(instance int, decisions []Decision) {
+func (l *simulation) decide(instance int, decisions []Decision) {
 	for _, d := range decisions {
-		c := l.turns[instance][d.Ticket.ID]
+		c := l.pending[instance][d.Ticket.ID]
 		switch d.Verdict {
 		case Start:
-			delete(l.turns[instance], d.Ticket.ID)
+			delete(l.pending[instance], d.Ticket.ID)
 			l.send(c)
 		case Refuse:
-			delete(l.turns[instance], d.Ticket.ID)
+			delete(l.pending[instance], d.Ticket.ID)
 			l.refuse(c, d.RetryAfter)
 		case Wait:
 		}
 	}
 }
 
-func (l *load) next(instance int) {
-	at, ok := l.gates[instance].NextAdvance(l.now)
+func (l *simulation) next(instance int) {
+	at, ok := l.limiters[instance].NextAdvance(l.now)
 	if !ok {
 		return
 	}
 	l.after(at-l.now, func() {
-		started, refused := l.gates[instance].Advance(l.now)
+		started, refused := l.limiters[instance].Advance(l.now)
 		for _, t := range started {
 			refused = append(refused, Decision{Verdict: Start, Ticket: t})
 		}
@@ -202,29 +204,29 @@
 	})
 }
 
-func (l *load) refuse(c *call, after clock.Millis) {
-	t := l.result[c.organisation]
-	if c.returned {
+func (l *simulation) refuse(c *call, after clock.Millis) {
+	t := l.tallies[c.organisation]
+	if c.isRetry {
 		t.refusedAgain++
 		t.refused++
 		return
 	}
-	c.returned = true
-	t.came++
-	l.after(min(max(after, 1), (c.until-l.now)/3)+2*loadNetworkDelay, func() { l.enter(c) })
+	c.isRetry = true
+	t.retried++
+	l.after(min(max(after, 1), (c.deadline-l.now)/3)+2*loadNetworkDelay, func() { l.enter(c) })
 }
 
-// send brings a call to the less loaded of two servers, as far as the instance knows.
-func (l *load) send(c *call) {
+// send sends a call to the less loaded of two random servers, by what the instance knows.
+func (l *simulation) send(c *call) {
 	c.tries++
 	c.sent = l.now
-	seen := l.seen[c.instance]
+	knownLoad := l.knownLoad[c.instance]
 	at, other := l.random.IntN(loadServers), l.random.IntN(loadServers)
-	if seen[other] < seen[at] {
+	if knownLoad[other] < knownLoad[at] {
 		at = other
 	}
 	s := l.servers[at]
-	seen[at]++
+	knownLoad[at]++
 	l.after(1, func() {
 		s.arrived++
 		run := func() {
@@ -252,67 +254,67 @@
 	})
 }
 
-func (l *load) slowness(server int) float64 {
+func (l *simulation) slowness(server int) float64 {
 	if l.slow && (7*int(l.now/slowPeriod)+3*server)%5 == 0 {
-		return slowTimes
+		return slowFactor
 	}
 	return 1
 }
 
-func (l *load) note(c *call, at int, shed bool) {
+func (l *simulation) observe(c *call, at int, shed bool) {
 	s := l.servers[at]
-	l.seen[c.instance][at] = s.running + len(s.waiting)
-	gate := l.gates[c.instance]
-	gate.running--
-	if gate.Adaptive != nil {
-		gate.Adaptive.Observe(l.now, Signal{Server: ident.BackendName(fmt.Sprint(at)), Shed: shed, Waiting: len(s.waiting), Slots: loadSlots, Latency: l.now - c.sent, Objective: loadObjective})
+	l.knownLoad[c.instance][at] = s.running + len(s.waiting)
+	limiter := l.limiters[c.instance]
+	limiter.running--
+	if limiter.Adaptive != nil {
+		limiter.Adaptive.Observe(l.now, Signal{Server: ident.BackendName(fmt.Sprint(at)), Shed: shed, Waiting: len(s.waiting), Slots: loadSlots, Latency: l.now - c.sent, Objective: loadObjective})
 	}
 }
 
-func (l *load) shed(c *call, at int) {
-	l.note(c, at, true)
+func (l *simulation) shed(c *call, at int) {
+	l.observe(c, at, true)
 	if !l.limited && c.tries < 2 {
-		l.gates[c.instance].running++
+		l.limiters[c.instance].running++
 		l.send(c)
 		return
 	}
-	after := 100 * clock.Millis(1)
+	retryAfter := 100 * clock.Millis(1)
 	if l.limited {
-		after = l.gates[c.instance].RetryAfter(l.now, c.organisation)
+		retryAfter = l.limiters[c.instance].RetryAfter(l.now, c.organisation)
 	}
-	l.refuse(c, after)
+	l.refuse(c, retryAfter)
 }
 
-func (l *load) served(c *call, at int) {
-	l.note(c, at, false)
-	t := l.result[c.organisation]
-	switch took := l.now + 2*loadNetworkDelay - c.began; {
-	case took <= loadObjective:
+func (l *simulation) served(c *call, at int) {
+	l.observe(c, at, false)
+	t := l.tallies[c.organisation]
+	switch latency := l.now + 2*loadNetworkDelay - c.began; {
+	case latency <= loadObjective:
 		t.inTime++
-	case l.now < c.until:
+	case l.now < c.deadline:
 		t.late++
 	default:
 		t.refused++
 	}
 }
 
-func constant(rate float64) func(clock.Millis) float64 {
+func constantRate(rate float64) func(clock.Millis) float64 {
 	return func(clock.Millis) float64 { return rate }
 }
 
 const (
-	warmTerm = 2 * clock.Second
-	playTerm = 6 * clock.Second
+	warmupPeriod   = 2 * clock.Second
+	measuredPeriod = 6 * clock.Second
 )
 
-// played are the shares of what the servers can do that were served in time, late, and
-// the share of arrivals that were shed.
-type played struct{ inTime, late, shed float64 }
+// shares are the fractions of the servers' capacity that were served in time and late, and
+// the fraction of arrivals at the servers that were shed.
+type shares struct{ inTime, late, shed float64 }
 
-func (l *load) share(times float64) played {
-	l.rate = constant(times * loadMost)
-	all := l.play(cmp.Or(l.seed, 1), warmTerm, warmTerm+playTerm)
-	if before := l.result["before"]; before != nil {
+func (l *simulation) measure(loadFactor float64) shares {
+	l.rate = constantRate(loadFactor * loadCapacity)
+	all := l.run(cmp.Or(l.seed, 1), warmupPeriod, warmupPeriod+measuredPeriod)
+	if before := l.tallies["before"]; before != nil {
 		all.inTime -= before.inTime
 		all.late -= before.late
 	}
@@ -321,82 +323,80 @@
 		arrived += s.arrived
 		shed += s.shed
 	}
-	most := min(times, 1) * loadMost * playTerm.Duration().Seconds()
-	return played{inTime: float64(all.inTime) / most, late: float64(all.late) / most, shed: float64(shed) / float64(arrived)}
+	most := min(loadFactor, 1) * loadCapacity * measuredPeriod.Duration().Seconds()
+	return shares{inTime: float64(all.inTime) / most, late: float64(all.late) / most, shed: float64(shed) / float64(arrived)}
 }
 
-var loads = []float64{0.8, 1, 1.2, 2, 5}
+var loadFactors = []float64{0.8, 1, 1.2, 2, 5}
 
-// At each load nine in ten of what the servers can do are to be served within the objective,
-// and one in ten arrivals shed at most. Without the queue 1.03, 0.78, 0.57, 0.32 and 0.06 are
-// served in time and 0.00, 0.32, 0.65, 0.87 and 0.98 shed.
+// Guards against servers whose queues stay full: calls that start late miss their
+// objective, and sheds waste work.
 func TestRoomInTime(t *testing.T) {
-	for _, times := range loads {
-		t.Run(fmt.Sprintf("%.1f times", times), func(t *testing.T) {
-			if got := (&load{limited: true}).share(times); got.inTime < 0.9 || got.shed > 0.1 {
+	for _, loadFactor := range loadFactors {
+		t.Run(fmt.Sprintf("%.1f times", loadFactor), func(t *testing.T) {
+			if got := (&simulation{limited: true}).measure(loadFactor); got.inTime < 0.9 || got.shed > 0.1 {
 				t.Errorf("%.2f in time, %.2f late, %.2f shed", got.inTime, got.late, got.shed)
 			}
 		})
 	}
 }
 
-// Whoever sends, the servers do at most a tenth less than they do for callers who press on
-// them without the queue: callers come to all instances, to a quarter of them, or to four.
+// Guards against a limit below the servers' capacity, also if only a few instances receive
+// calls.
 func TestRoomIsUsed(t *testing.T) {
 	for _, senders := range []int{loadInstances, 15, 4} {
-		for _, times := range loads {
-			t.Run(fmt.Sprintf("%d instances, %.1f times", senders, times), func(t *testing.T) {
-				without, with := (&load{senders: senders}).share(times), (&load{senders: senders, limited: true}).share(times)
-				if most, served := without.inTime+without.late, with.inTime+with.late; served < most-0.1 {
-					t.Errorf("%.2f of what the servers do is served, %.2f without the queue", served, most)
+		for _, loadFactor := range loadFactors {
+			t.Run(fmt.Sprintf("%d instances, %.1f times", senders, loadFactor), func(t *testing.T) {
+				without, with := (&simulation{senders: senders}).measure(loadFactor), (&simulation{senders: senders, limited: true}).measure(loadFactor)
+				if baseline, served := without.inTime+without.late, with.inTime+with.late; served < baseline-0.1 {
+					t.Errorf("%.2f of the capacity is served, %.2f without the limit", served, baseline)
 				}
 			})
 		}
 	}
 }
 
-// Servers that are slow by turns are full now and then while the others have room: callers
-// get no less than without the queue, but for what noise makes.
+// Guards against a limit that reacts to single slow servers while the others are free.
 func TestRoomBesideSlowServers(t *testing.T) {
-	for _, times := range []float64{0.7, 0.8} {
+	for _, loadFactor := range []float64{0.7, 0.8} {
 		const seeds = 5
 		without, with := 0.0, 0.0
 		for seed := range uint64(seeds) {
-			without += (&load{seed: 1 + seed, slow: true}).share(times).inTime / seeds
-			with += (&load{seed: 1 + seed, slow: true, limited: true}).share(times).inTime / seeds
+			without += (&simulation{seed: 1 + seed, slow: true}).measure(loadFactor).inTime / seeds
+			with += (&simulation{seed: 1 + seed, slow: true, limited: true}).measure(loadFactor).inTime / seeds
 		}
-		t.Logf("%.1f times: %.3f in time, %.3f without the queue", times, with, without)
+		t.Logf("%.1f times: %.3f in time, %.3f without the limit", loadFactor, with, without)
 		if with < without-0.05 {
-			t.Errorf("%.1f times: %.2f in time, %.2f without the queue", times, with, without)
+			t.Errorf("%.1f times: %.2f in time, %.2f without the limit", loadFactor, with, without)
 		}
 	}
 }
 
-// Two seconds after five times the load has ended nothing of it is left.
+// Guards against a limit that stays low after an overload has ended.
 func TestRoomAfterTheLoad(t *testing.T) {
 	const end = 3 * clock.Second
-	l := &load{limited: true, rate: func(at clock.Millis) float64 {
+	l := &simulation{limited: true, rate: func(at clock.Millis) float64 {
 		if at < end {
-			return 5 * loadMost
+			return 5 * loadCapacity
 		}
-		return loadMost / 2
+		return loadCapacity / 2
 	}}
-	all := l.play(1, end+2*clock.Second, end+8*clock.Second)
-	before := l.result["before"]
+	all := l.run(1, end+2*clock.Second, end+8*clock.Second)
+	before := l.tallies["before"]
 	calls, inTime := all.calls-before.calls, all.inTime-before.inTime
 	if float64(inTime) < 0.97*float64(calls) {
 		t.Errorf("%d of %d in time", inTime, calls)
 	}
 }
 
-// besideBig returns how much of the calls of 72 organisations is served in time, beside one
-// that sends many times the share of each of them.
-func besideBig(big float64) float64 {
-	const theirs = 0.6
-	l := &load{limited: true, organisations: 72, big: big, rate: constant((theirs + theirs*big/72) * loadMost)}
-	l.play(1, warmTerm, warmTerm+playTerm)
+// inTimeBesideBig returns the fraction of the calls of 72 organisations that are served in
+// time while another one sends big times the share of each.
+func inTimeBesideBig(big float64) float64 {
+	const othersLoad = 0.6
+	l := &simulation{limited: true, organisations: 72, big: big, rate: constantRate((othersLoad + othersLoad*big/72) * loadCapacity)}
+	l.run(1, warmupPeriod, warmupPeriod+measuredPeriod)
 	calls, inTime := 0, 0
-	for organisation, t := range l.result {
+	for organisation, t := range l.tallies {
 		if organisation != "big" && organisation != "before" {
 			calls += t.calls
 			inTime += t.inTime
@@ -407,14 +407,13 @@
 
 func assertServedAsAlone(t *testing.T, big float64) {
 	t.Helper()
-	if alone, beside := besideBig(0), besideBig(big); beside < alone-0.02 {
-		t.Errorf("%.3f in time beside the large one, %.3f without it", beside, alone)
+	if alone, beside := inTimeBesideBig(0), inTimeBesideBig(big); beside < alone-0.02 {
+		t.Errorf("%.3f in time beside the large organisation, %.3f without it", beside, alone)
 	}
 }
 
-// One organisation sends twenty times the share of each of 72 others, which are served as
-// without it.
+// Guards against one large organisation taking the capacity of the others.
 func TestRoomBesideALargeOne(t *testing.T) { assertServedAsAlone(t, 20) }
 
-// The same with one that asks for all that the servers do, so that 1.6 times that is asked.
+// The same with an organisation that requests the whole capacity of the servers.
 func TestRoomBesideOneThatWantsAll(t *testing.T) { assertServedAsAlone(t, 120) }
--- a/kernel/admit/queue.go
+++ b/kernel/admit/queue.go
@@ -8,48 +8,46 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Request is what the queue goes by for one request.
+// Request is the part of a request that decides its place in the queue.
 type Request struct {
-	// Organisation is whose request it is; those of nobody share as one organisation.
+	// Organisation may be empty; such requests share as one organisation.
 	Organisation ident.Organisation
-	// Priority is its urgency, 0 first.
+	// Priority orders requests before everything else; 0 is the highest.
 	Priority int
-	// StartBy is the latest start that is of use: later ones are refused.
+	// StartBy is the latest useful start. A request that cannot start by then is refused.
 	StartBy clock.Millis
 	// Deadline is when the caller stops waiting.
 	Deadline clock.Millis
 }
 
-// Ticket stands for one request.
+// Ticket is a request with its ID in the queue.
 type Ticket struct {
 	Request
 	ID int64
-	// virtualStart is its virtual virtualStart among the organisations of its rank.
+	// virtualStart is the fair-queueing start tag, compared within a priority.
 	virtualStart float64
 }
 
-// maxOrganisations bounds how many organisations are remembered as ahead of their
-// share.
+// maxOrganisations is the number of entries at which nextStart is pruned.
 const maxOrganisations = 4096
 
-// fairQueue is the waiting requests in the order in which they start: by rank, among equals by
-// start-time fair queueing between organisations. It answers one organisation that sends
-// many times its share: its requests get later and later virtual starts, so that those of
-// the others go before them, and those that can't start in time any more are its own.
+// fairQueue holds the waiting requests in the order in which they start: by priority, then
+// by start-time fair queueing between organisations. An organisation that sends more than
+// its share gets later and later virtual starts, so its own requests are the ones that
+// miss their start time.
 type fairQueue struct {
 	waiting []Ticket
-	// nextStart is the earliest virtual start of an organisation's nextStart request.
+	// nextStart is the earliest virtual start of each organisation's next request.
 	nextStart map[ident.Organisation]float64
-	// virtualTime is the virtual time: the virtual start of the request that was started last.
+	// virtualTime is the latest virtual start of the started requests.
 	virtualTime float64
-	// newestFirst has those of one organisation go first who have the most time left, not the
-	// least. Callers who were refused before have less than new ones, and are late whatever
-	// becomes of them; going first they made new ones late in their turn: at 1.2 times what
-	// the servers do 0.29 of it was in time, 0.73 with the newestFirst first (TestRoomInTime's load).
+	// newestFirst serves the requests of one organisation by the latest deadline first
+	// instead of the earliest. Under overload the oldest requests are late anyway, and
+	// serving them first makes the new ones late too.
 	newestFirst bool
 }
 
-// assignStart returns the virtual start of a further request of an organisation.
+// assignStart returns the virtual start of a new request of an organisation.
 func (l *fairQueue) assignStart(organisation ident.Organisation) float64 {
 	if l.nextStart == nil || len(l.nextStart) >= maxOrganisations {
 		l.nextStart = l.overShareStarts()
@@ -59,8 +57,8 @@
 	return start
 }
 
-// overShareStarts returns the organisations that are ahead of their share, with the virtual start
-// of their next request; the others need not be remembered.
+// overShareStarts returns the entries of nextStart that still matter: those of the
+// organisations over their fair share.
 func (l *fairQueue) overShareStarts() map[ident.Organisation]float64 {
 	kept := map[ident.Organisation]float64{}
 	for organisation, next := range l.nextStart {
@@ -71,19 +69,19 @@
 	return kept
 }
 
-// isOverShare tells whether an organisation is ahead of its share: its next request would stand
-// behind one of an organisation that has asked for less.
+// isOverShare reports whether an organisation is over its fair share: its next request
+// would wait behind those of organisations that have requested less.
 func (l *fairQueue) isOverShare(organisation ident.Organisation) bool {
 	return l.nextStart[organisation] > l.virtualTime
 }
 
-// startImmediately counts a request that starts without waiting.
+// startImmediately accounts for a request that starts without waiting.
 func (l *fairQueue) startImmediately(organisation ident.Organisation) {
 	l.virtualTime = l.assignStart(organisation)
 }
 
-// insert places a request. Its organisation's virtual starts go to its requests in the order
-// in which these go before each other.
+// insert adds a request. Within one organisation and priority it reassigns the virtual
+// starts so that their order follows precedes.
 func (l *fairQueue) insert(t Ticket) {
 	t.virtualStart = l.assignStart(t.Organisation)
 	for i := range l.waiting {
@@ -97,7 +95,7 @@
 	l.waiting = slices.Insert(l.waiting, at, t)
 }
 
-// precedes tells which of two requests of one organisation goes first.
+// precedes reports which of two requests of one organisation goes first.
 func (l *fairQueue) precedes(a, b Ticket) bool {
 	if l.newestFirst {
 		return a.Deadline > b.Deadline
@@ -105,7 +103,7 @@
 	return a.Deadline < b.Deadline
 }
 
-// sameFlow tells whether two requests may change places.
+// sameFlow reports whether two requests have the same organisation and priority.
 func (t *Ticket) sameFlow(other Ticket) bool {
 	return t.Organisation == other.Organisation && t.Priority == other.Priority
 }
@@ -114,7 +112,7 @@
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.virtualStart, b.virtualStart), cmp.Compare(a.ID, b.ID))
 }
 
-// pop starts the first request.
+// pop removes the first request and advances the virtual time to its start.
 func (l *fairQueue) pop() Ticket {
 	first := l.waiting[0]
 	l.waiting = slices.Delete(l.waiting, 0, 1)
@@ -122,8 +120,8 @@
 	return first
 }
 
-// remove takes the request at a place out. Its organisation is not charged for it: its
-// later requests move up by one each.
+// remove removes the request at an index without charging its organisation: each later
+// request of the same flow takes over the virtual start before its own.
 func (l *fairQueue) remove(at int) Ticket {
 	removed := l.waiting[at]
 	l.waiting = slices.Delete(l.waiting, at, at+1)
@@ -138,7 +136,7 @@
 	return removed
 }
 
-// find returns the place of a request, or -1.
+// find returns the index of a request, or -1.
 func (l *fairQueue) find(id int64) int {
 	return slices.IndexFunc(l.waiting, func(t Ticket) bool { return t.ID == id })
 }
--- a/kernel/admit/returns.go
+++ b/kernel/admit/returns.go
@@ -3,25 +3,23 @@
 import "croftmoor.dev/kernel/clock"
 
 const (
-	// minRetryDelay is the least time that a caller is told: it comes to another instance,
-	// which may have room now, and is still in time if it comes at once.
+	// minRetryDelay lets the caller reach another instance, which may have capacity, while
+	// its deadline can still be met.
 	minRetryDelay = 10 * clock.Millis(1)
-	// maxRetryDelay bounds the time that a caller is told: further ahead nothing is known of
-	// the load.
+	// maxRetryDelay bounds the delay: the load further ahead cannot be predicted.
 	maxRetryDelay = 5 * clock.Second
 )
 
-// retrySchedule spreads refused callers over the time to come. It answers the wave of callers
-// who, told one fixed time, come back together and are refused together again.
+// retrySchedule spreads the retries of refused callers over time. With one fixed delay they
+// would retry together and be refused together.
 type retrySchedule struct {
-	// nextFree is the nextFree moment that is not given to anybody.
+	// nextFree is the earliest time that is not assigned to a caller.
 	nextFree clock.Millis
-	// fraction is the fraction of a millisecond beyond next.
+	// fraction is the part of a millisecond beyond nextFree.
 	fraction float64
 }
 
-// assignDelay returns in how long a caller should come back, one assignDelay the other at the rate,
-// in requests a second.
+// assignDelay returns the retry delay of a caller, spaced at rate requests per second.
 func (r *retrySchedule) assignDelay(now clock.Millis, rate float64) clock.Millis {
 	earliest := now + minRetryDelay
 	if r.nextFree < earliest {
--- a/kernel/admit/room.go
+++ b/kernel/admit/room.go
@@ -8,107 +8,100 @@
 )
 
 const (
-	// adjustPeriod is the pause between two changes of the rate: some two calls at
-	// servers whose work takes 25 ms, so that a change shows before the next.
+	// adjustPeriod is the interval between two changes of the rate. It is longer than a
+	// typical call, so a change takes effect before the next.
 	adjustPeriod = 100 * clock.Millis(1)
-	// maxDecrease is the part of the rate that one period takes away when all its answers
-	// told of full queues. Over TestRoomIsUsed's loads 0.89 of what the servers do was served
-	// in time; with 0.2 it was 0.87, as the rates swing.
+	// maxDecrease is the fraction of the rate that one period removes when all servers are
+	// congested. Larger steps make the rate oscillate.
 	maxDecrease = 0.1
-	// shedDecrease is what sheds take away beside: full servers have no time to turn callers
-	// away while the rate falls by small steps. With 0.2 a fifth more is shed at five times
-	// the load. Following the rate of what servers took did worse: few answers tell it badly,
-	// and four instances stayed at a third of what the servers do.
+	// shedDecrease is the fraction that a period of only sheds removes in addition: a full
+	// server spends capacity on turning requests away.
 	shedDecrease = 0.3
-	// increaseFraction is the part of the rate, or of an even share if that is more, by which the
-	// rate rises in one period, so that half of what the servers do is regained in a
-	// second, and instances with less than their share gain on the others.
+	// increaseFraction is the fraction of the rate, or of the fair rate if that is higher,
+	// by which one period raises the rate. An instance below its fair rate so gains on the
+	// others.
 	increaseFraction = 0.05
-	// limitThreshold is how full the servers must be on average before there is a limit: more
-	// than the half at which the rate neither falls nor rises. With a limit from the first
-	// sign of any server's queue on, 62 instances served 0.67 in time at 0.8 times the load
-	// where one server in five is slow at a time, with a half 0.82, with this one 0.86, and
-	// 0.89 without any limit. With 0.8 a tenth less is in time at twice the load.
+	// limitThreshold is the average congestion from which on the rate is limited. It is above
+	// one half, so a few slow servers among idle ones don't cause a limit.
 	limitThreshold = 0.6
-	// nearFullFraction is the part of a server's queue from which on it counts as getting full, once
-	// a shed has told where the queue ends: a short one is full long before the objective
-	// is at risk.
+	// nearFullFraction is the fraction of a server's queue above which the server counts as
+	// congested, once a shed has shown the queue's limit. A short queue fills before its wait
+	// reaches lowWaitFraction.
 	nearFullFraction = 0.5
-	// reportHalfLife is the age at which what a server told counts half: at 16 calls a
-	// second each of four servers tells four times a second. Beyond toldTerm it may be gone.
+	// reportHalfLife is the age at which a server's report counts half; after reportExpiry
+	// it is dropped, because the server may be gone.
 	reportHalfLife = 1 * clock.Second
-	reportExpiry     = 2 * clock.Second
-	// liftDelay is how long after the servers were last full the rate is lifted.
+	reportExpiry   = 2 * clock.Second
+	// liftDelay is how long after the last congestion the limit is lifted.
 	liftDelay = 1 * clock.Second
-	// The share of the objective that waiting at a server may take: from the first on the
-	// rate falls, at the second it falls steepest. Work, ways and the wait for a turn
-	// need the rest.
+	// The wait at a server as a fraction of the objective: congestion is 0 up to
+	// lowWaitFraction and 1 from highWaitFraction on. Work, network and the queue at this
+	// instance need the rest of the objective.
 	lowWaitFraction, highWaitFraction = 1.0 / 6, 1.0 / 2
-	// burstWindow is how much of the rate may be saved while nobody asks.
+	// burstWindow bounds the tokens that accumulate, as time at the current rate.
 	burstWindow = 60 * clock.Millis(1)
-	// reservedTokens is how many turns stay ready for organisations that are not ahead of their
-	// share: at 16 calls a second the next turn is 60 ms away, and their callers want an
-	// answer in 150.
+	// reservedTokens is the number of tokens that organisations over their fair share cannot
+	// use. At low rates the next token would come too late for the others.
 	reservedTokens = 1
-	// minRate keeps an instance asking, so that it learns when there is room again.
+	// minRate, in requests per second, keeps responses coming, which show when to raise the
+	// rate.
 	minRate = 1.0
-	// latencyWeight weighs a new time of a call against the mean so far.
+	// latencyWeight is the weight of a new latency in the moving average.
 	latencyWeight = 0.1
-	// sendRateWeight weighs the sends of one period against the rate of sending so far.
+	// sendRateWeight is the weight of one period's sends in the moving average.
 	sendRateWeight = 0.5
 )
 
-// AdaptiveLimiter is how much of a service this instance may use: a rate that is learnt from what
-// servers tell with their answers. It answers a service that is asked for 1.05 to 5 times
-// what its servers do by many instances that don't know of each other: with the servers'
-// own queues as the only limit, 0.53 of what they could do was served within an objective
-// of 150 ms. It has no lock of its own.
+// AdaptiveLimiter limits the rate at which this instance sends to one service. It learns
+// the rate from the queue lengths that backend servers report with their responses, by
+// additive and multiplicative steps each adjustPeriod: instances don't know of each other,
+// and the servers' queues alone would fill until every call is late. It is not safe for
+// concurrent use.
 type AdaptiveLimiter struct {
-	// SlotShare returns this instance's even share of the servers' slots; 0 if it is not known.
+	// SlotShare returns this instance's even share of the servers' slots; 0 is unknown.
 	SlotShare func() float64
-	// InUse tells whether a server is still used; nil is yes. What one that has left told
-	// last would pass for room: 63 of 99 calls of a small organisation were in time when one
-	// of two servers left.
+	// InUse reports whether a server is still in use; nil is always. Reports of removed
+	// servers are dropped, because they would count as free capacity.
 	InUse func(ident.BackendName) bool
 
-	// rate is the limit in requests a second; 0 is none.
+	// rate is the limit in requests per second; 0 is no limit.
 	rate float64
-	// tokens are the turns that have come and were not taken, as of filled.
-	tokens  float64
+	// tokens are the unused send permits at the time refilledAt.
+	tokens     float64
 	refilledAt clock.Millis
-	// reports is what each server reports last.
+	// reports holds the last report of each server.
 	reports map[ident.BackendName]report
-	// Of the period that began at since: answers, how full each found the servers on
-	// average, added up, and how many of them were sheds.
-	answers int
-	congestionSum   float64
-	sheds   int
+	// Sums over the period that began at periodStart: the responses, the average congestion
+	// at each of them, and the sheds among them.
+	answers       int
+	congestionSum float64
+	sheds         int
 	periodStart   clock.Millis
-	// lastCongested is when the servers were last known to be full.
+	// lastCongested is when the servers last reached limitThreshold.
 	lastCongested clock.Millis
-	// meanLatency is the smoothed time of calls, meanWork the part of it that was not spent waiting at
-	// the server.
+	// meanLatency is the moving average of the calls' latency, meanWork that of the part not
+	// spent in a server's queue, both in milliseconds.
 	meanLatency, meanWork float64
-	// sent counts the sends of the period, sending is their smoothed rate a second.
-	sent    int
+	// sent counts the sends of the period; sendRate is their moving average per second.
+	sent     int
 	sendRate float64
 }
 
-// Signal is what one answer of a server tells of the room there.
+// Signal is what one response shows of the load at its backend server.
 type Signal struct {
-	// Server is who answered.
+	// Server is the server that responded.
 	Server ident.BackendName
-	// Shed tells that the server turned the request away because it was full.
+	// Shed is whether the server refused the request because its queue was full.
 	Shed bool
-	// Waiting and Slots are what the server told; Slots is 0 if it told nothing. A server
-	// that sheds tells how long its queue is.
+	// Waiting and Slots are the server's queue length and slots; Slots is 0 if it reported
+	// neither. With a shed, Waiting is the limit of the queue.
 	Waiting, Slots int
-	// Latency is the time of the call, Objective the time that its caller wants it in.
+	// Latency is the time of the call, Objective the time within which the caller wants it.
 	Latency, Objective clock.Millis
 }
 
-// queueTime returns the part of the call that was spent waiting at the server, if its queue
-// has not changed.
+// queueTime estimates the part of the latency, in milliseconds, that was spent in the
+// server's queue, assuming that the queue's length is constant.
 func (s Signal) queueTime() float64 {
 	if s.Slots <= 0 {
 		return 0
@@ -116,7 +109,7 @@
 	return float64(s.Latency) * float64(s.Waiting) / float64(s.Waiting+s.Slots)
 }
 
-// congestion returns how full the server is, from 0 to 1.
+// congestion returns the congestion of the server, from 0 to 1.
 func (s Signal) congestion() float64 {
 	if s.Shed {
 		return 1
@@ -128,15 +121,15 @@
 	return min(max((waitFraction-lowWaitFraction)/(highWaitFraction-lowWaitFraction), 0), 1)
 }
 
-// report is how full a server was when it last report.
+// report is the last known congestion of a server.
 type report struct {
 	congestion float64
-	at   clock.Millis
-	// queueLimit is how many waited when it last turned a request away; 0 is not known.
+	at         clock.Millis
+	// queueLimit is the queue length at its last shed; 0 is unknown.
 	queueLimit int
 }
 
-// updated returns what is known once a server has answered.
+// updated returns the report after a signal.
 func (t report) updated(now clock.Millis, s Signal) report {
 	if s.Shed {
 		t.queueLimit = s.Waiting
@@ -148,8 +141,8 @@
 	return t
 }
 
-// congestion returns how full the servers are on average, from 0 to 1. One that is slow beside
-// others with room is no reason to send less, but to send elsewhere.
+// congestion returns the average congestion of the servers, from 0 to 1. It is an average
+// because one slow server among free ones calls for other routing, not for a lower rate.
 func (r *AdaptiveLimiter) congestion(now clock.Millis) float64 {
 	sum := 0.0
 	for name, t := range r.reports {
@@ -162,7 +155,7 @@
 	return sum / float64(max(len(r.reports), 1))
 }
 
-// dropUnusedServers drops what was told by servers that are not used any more.
+// dropUnusedServers drops the reports of servers that are no longer in use.
 func (r *AdaptiveLimiter) dropUnusedServers() {
 	if r.InUse == nil {
 		return
@@ -170,7 +163,7 @@
 	maps.DeleteFunc(r.reports, func(name ident.BackendName, _ report) bool { return !r.InUse(name) })
 }
 
-// Observe learns from an answer.
+// Observe updates the limit from a response.
 func (r *AdaptiveLimiter) Observe(now clock.Millis, s Signal) {
 	r.endPeriod(now)
 	if r.reports == nil {
@@ -196,7 +189,7 @@
 	}
 }
 
-// updateLatency smooths the time of calls.
+// updateLatency updates the moving averages of latency and work.
 func (r *AdaptiveLimiter) updateLatency(s Signal) {
 	latency := float64(s.Latency)
 	work := latency - s.queueTime()
@@ -207,10 +200,10 @@
 	r.meanWork += latencyWeight * (work - r.meanWork)
 }
 
-// MeanLatency returns the time that a call takes at a server.
+// MeanLatency returns the average latency of a call at a server.
 func (r *AdaptiveLimiter) MeanLatency() clock.Millis { return clock.Millis(r.meanLatency) }
 
-// fairRate returns the rate of an fairRate share in requests a second; 0 if it is not known.
+// fairRate returns the rate in requests per second that SlotShare allows; 0 is unknown.
 func (r *AdaptiveLimiter) fairRate() float64 {
 	if r.SlotShare == nil || r.meanWork <= 0 {
 		return 0
@@ -218,7 +211,7 @@
 	return r.SlotShare() / r.meanWork * float64(clock.Second)
 }
 
-// endPeriod ends the period if it is over.
+// endPeriod updates the rates if the period is over, and begins the next one.
 func (r *AdaptiveLimiter) endPeriod(now clock.Millis) {
 	span := now - r.periodStart
 	if span < adjustPeriod {
@@ -234,7 +227,7 @@
 	r.congestionSum, r.answers, r.sheds, r.sent, r.periodStart = 0, 0, 0, 0, now
 }
 
-// updateRate moves the rate by what the answers of a period told.
+// updateRate changes the rate by the responses of a period of the given length.
 func (r *AdaptiveLimiter) updateRate(now, span clock.Millis) {
 	if now-r.lastCongested > liftDelay {
 		r.rate = 0
@@ -246,12 +239,12 @@
 	}
 	r.rate += periods * increaseFraction * max(r.fairRate(), r.rate, minRate)
 	r.rate = max(r.rate, minRate)
-	// What is not used is not saved up for the next burst.
+	// An unused rate must not grow and allow a burst later.
 	r.rate = min(r.rate, 2*max(r.sendRate, r.fairRate(), minRate))
 }
 
-// TryAcquire takes the right to send one request now; it reports false if there is none. One of
-// an organisation that is ahead of its share leaves a turn for the others.
+// TryAcquire takes one token; it returns false if there is none. An organisation that is
+// over its fair share leaves reservedTokens to the others.
 func (r *AdaptiveLimiter) TryAcquire(now clock.Millis, overShare bool) bool {
 	r.endPeriod(now)
 	if r.rate > 0 {
@@ -265,14 +258,14 @@
 	return true
 }
 
-// refill saves up the turns that have come since it was last called.
+// refill adds the tokens earned since the last call.
 func (r *AdaptiveLimiter) refill(now clock.Millis) {
 	capacity := 1 + reservedTokens + r.rate*float64(burstWindow)/float64(clock.Second)
 	r.tokens = min(capacity, r.tokens+r.rate*float64(now-r.refilledAt)/float64(clock.Second))
 	r.refilledAt = now
 }
 
-// ExpectedWait returns how long the request at a place waits for its turn, from 1 on.
+// ExpectedWait returns how long the request at a position (1 is the first) waits for a token.
 func (r *AdaptiveLimiter) ExpectedWait(now clock.Millis, position int, overShare bool) clock.Millis {
 	if r.rate == 0 {
 		return 0
@@ -285,5 +278,5 @@
 	return clock.Millis(max(missing, 0) / r.rate * float64(clock.Second))
 }
 
-// Rate returns the limit in requests a second; 0 is none.
+// Rate returns the limit in requests per second; 0 is no limit.
 func (r *AdaptiveLimiter) Rate() float64 { return r.rate }
