--- a/kernel/budget/budget.go
+++ b/kernel/budget/budget.go
@@ -5,10 +5,10 @@
 import "sync"
 
 const (
-	// Share is how many retries each request earns.
-	Share = 0.1
-	// Most bounds the saved retries.
-	Most = 10
+	// RetriesPerRequest is how many retries each request earns.
+	RetriesPerRequest = 0.1
+	// MaxSaved bounds the saved retries.
+	MaxSaved = 10
 )
 
 // Budget is one caller class's retries towards one service. The zero value
@@ -22,7 +22,7 @@
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spent = max(b.spent-Share, 1-Most)
+	b.spent = max(b.spent-RetriesPerRequest, 1-MaxSaved)
 }
 
 // Spend takes one retry if there is one.
