--- a/kernel/budget/budget.go
+++ b/kernel/budget/budget.go
@@ -1,31 +1,31 @@
-// Package budget limits retries to a share of the requests, so that a fault
-// does not multiply the load.
+// Package budget limits retries to a fraction of the requests, so that retries do not
+// multiply the load during an outage.
 package budget
 
 import "sync"
 
 const (
-	// RetriesPerRequest is how many retries each request earns.
+	// RetriesPerRequest is the fraction of a retry that each request adds to the budget.
 	RetriesPerRequest = 0.1
-	// MaxSaved bounds the saved retries.
+	// MaxSaved is the maximum number of unused retries in a budget.
 	MaxSaved = 10
 )
 
-// Budget is one caller class's retries towards one service. The zero value
-// holds one retry; its state is guarded by mu.
+// Budget is the retry budget of one class of callers for one service. The zero value
+// allows one retry. It is safe for concurrent use.
 type Budget struct {
 	mu    sync.Mutex
 	spent float64
 }
 
-// Earn counts a request.
+// Earn adds RetriesPerRequest to the budget. The caller calls it once per request.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(b.spent-RetriesPerRequest, 1-MaxSaved)
 }
 
-// Spend takes one retry if there is one.
+// Spend takes one retry from the budget. It returns false if none is left.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/kernel/start/start.go
+++ b/kernel/start/start.go
@@ -1,5 +1,5 @@
-// Package start runs a program's command line: usage errors, help and the exit
-// code are the same for all programs.
+// Package start runs the command line of a program. All programs handle usage errors, help
+// and exit codes alike.
 package start
 
 import (
@@ -10,14 +10,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Exit codes that all programs share.
+// Exit codes of all programs.
 const (
 	ExitFailed = 1
 	ExitUsage  = 2
 )
 
-// Main parses the command line, which runs the chosen command, and ends the
-// process. ExitCode maps a command's error; nil stands for ExitFailed.
+// Main parses the command line, which runs the chosen command. On an error it prints the
+// error to stderr and exits with ExitUsage for a usage error, otherwise with the result of
+// exitCode, or with ExitFailed if exitCode is nil.
 func Main(program string, parser *flags.Parser, exitCode func(error) int) {
 	_, err := parser.Parse()
 	if err == nil {
