--- a/kernel/budget/budget.go
+++ b/kernel/budget/budget.go
@@ -14,7 +14,8 @@
 // Budget is the retry budget of one class of callers for one service. The zero value
 // allows one retry. It is safe for concurrent use.
 type Budget struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// spent is the retries taken minus those earned; a retry is allowed while it is 0 or less.
 	spent float64
 }
 
