--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -87,7 +87,7 @@
 		return 0
 	}
 	route, _ := table.Exact(accept.Host, accept.Prefix)
-	return table.Organisations.Urgent(accept.Organisation, route.Urgent)
+	return table.Organisations.Priority(accept.Organisation, route.Urgent)
 }
 
 // generate has an engine make the rest of the text.
--- a/croftmoor/rooms/rooms.go
+++ b/croftmoor/rooms/rooms.go
@@ -72,7 +72,7 @@
 	made.gate.Clock = r.Clock
 	made.gate.Adaptive = &admit.AdaptiveLimiter{
 		SlotShare: func() float64 { return r.slots(service) },
-		InUse:  func(server ident.BackendName) bool { return r.uses(service, server) },
+		InUse:     func(server ident.BackendName) bool { return r.uses(service, server) },
 	}
 	made.gate.SetLimits(0, 0, mostWaiting)
 	actual, _ := r.byService.LoadOrStore(service, made)
--- a/croftmoor/scaler/scaler.go
+++ b/croftmoor/scaler/scaler.go
@@ -97,7 +97,7 @@
 	Without   toggle.Set
 
 	lease lease.Lease
-	needs map[ident.Service]*scale.Need
+	needs map[ident.Service]*scale.Demand
 	// usual is the most regular engines that each service was seen to have.
 	usual  map[ident.Service]int
 	orders map[subject]ordered
@@ -122,7 +122,7 @@
 // Run orders engines until ctx ends.
 func (s *Scaler) Run(ctx context.Context) {
 	s.lease = lease.Lease{Role: role, Self: s.Self, Ledger: s.Ledger, Clock: s.Clock, Trail: s.Trail, Term: s.LeaseTerm, Without: s.Without}
-	s.needs = map[ident.Service]*scale.Need{}
+	s.needs = map[ident.Service]*scale.Demand{}
 	s.usual = map[ident.Service]int{}
 	s.orders = map[subject]ordered{}
 	s.Clock.Every(ctx, period, func() { s.round(ctx) })
@@ -160,9 +160,9 @@
 			continue
 		}
 		if s.needs[name] == nil {
-			s.needs[name] = &scale.Need{}
+			s.needs[name] = &scale.Demand{}
 		}
-		s.needs[name].Note(s.Clock.Mono(), items[name])
+		s.needs[name].Observe(s.Clock.Mono(), items[name])
 	}
 }
 
@@ -170,11 +170,11 @@
 func (s *Scaler) orderFor(ctx context.Context, service paths.Service, fence ident.Fence) {
 	engines := s.Fleet.View().Backends[service.Name]
 	zones, spot := s.zones(service, engines)
-	items := s.needs[service.Name].Most()
-	desired := scale.Spot(*service.Scaling, zones, s.usualOf(service.Name, zones), items, service.Slots)
+	items := s.needs[service.Name].Peak()
+	desired := scale.DesiredSpot(*service.Scaling, zones, s.usualOf(service.Name, zones), items, service.Slots)
 	for _, zone := range zones {
 		key := subject{service: service.Name, zone: zone.Name}
-		if s.due(key, fence, desired[zone.Name], spot[zone.Name], service.Scaling.Boot) {
+		if s.due(key, fence, desired[zone.Name], spot[zone.Name], service.Scaling.BootTime) {
 			reason := fmt.Sprintf("%d items at most, %d engines, %d of them spot there, fence %d", items, len(engines), spot[zone.Name], fence)
 			s.give(ctx, Order{Holder: s.Self, Fence: fence, Service: service.Name, Zone: zone.Name, Desired: desired[zone.Name]}, reason)
 		}
@@ -211,7 +211,7 @@
 	zones := make([]scale.Zone, 0, len(regular))
 	for name, n := range regular {
 		dry := now < s.orders[subject{service: service.Name, zone: name}].dryUntil
-		zones = append(zones, scale.Zone{Name: name, Regular: n, Dry: dry})
+		zones = append(zones, scale.Zone{Name: name, Regular: n, SpotUnavailable: dry})
 	}
 	slices.SortFunc(zones, func(a, b scale.Zone) int { return cmp.Compare(a.Name, b.Name) })
 	return zones, spot
--- a/croftmoor/scaler/scaler_test.go
+++ b/croftmoor/scaler/scaler_test.go
@@ -76,7 +76,7 @@
 	s.ledger.book.Next = 1
 	s.cloud = &cloud{scene: s, held: map[ident.Zone]int{}, dry: map[ident.Zone]bool{}}
 	routes := paths.NewTable(1, nil, []paths.Service{{Name: "model", Slots: 2, Scaling: &scale.Limits{
-		Most: 9, Boot: 2 * clock.Second, SpotPrice: 0.2, Prices: map[ident.Zone]float64{"a": 1, "b": 2},
+		Max: 9, BootTime: 2 * clock.Second, SpotPrice: 0.2, Prices: map[ident.Zone]float64{"a": 1, "b": 2},
 	}}, {Name: "plain"}}, paths.Limits{})
 	s.scaler = &Scaler{
 		Self: "i~1", Ledger: s.ledger, Platform: s.cloud, Fleet: s.fleet, Routes: func() *paths.Table { return routes },
--- a/kernel/access/access.go
+++ b/kernel/access/access.go
@@ -27,20 +27,20 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// CurrentTerm is the age of the configuration up to which an unknown key is denied.
+// MaxConfigAge is the age of the configuration up to which an unknown key is denied.
 // The configuration is asked for anew each second, so that a healthy instance stays
 // below it; one that the log turns away reads it through others within 2 s, and
 // answers that it can't tell meanwhile.
-const CurrentTerm = 1500 * clock.Millis(1)
+const MaxConfigAge = 1500 * clock.Millis(1)
 
 // Organisation is one customer of the platform, with the keys in force.
 type Organisation struct {
 	Name ident.Organisation
 	Keys []ident.Key
-	// Urgent is the rank of its requests, 0 first; it comes before the route's. It
+	// Priority is the rank of its requests, 0 first; it comes before the route's. It
 	// counts if Ranked is set.
-	Urgent int
-	Ranked bool
+	Priority int
+	HasPriority bool
 }
 
 // Directory is the organisations of one configuration. It is not changed once
@@ -86,20 +86,20 @@
 	return len(d.byName)
 }
 
-// Question is what a request shows of itself, and what is known where it arrived.
-type Question struct {
+// Query is what a request shows of itself, and what is known where it arrived.
+type Query struct {
 	// Key may be empty.
 	Key ident.Key
 	// Public tells that its route takes requests without a key.
 	Public bool
-	// Age is how long ago the configuration was last known to be current.
-	Age clock.Millis
+	// ConfigAge is how long ago the configuration was last known to be current.
+	ConfigAge clock.Millis
 }
 
-// Decide returns the organisation that a request belongs to; it is empty where the
+// Authenticate returns the organisation that a request belongs to; it is empty where the
 // configuration has no organisations, and for a public request without a key that
 // is in force.
-func (d *Directory) Decide(q Question) (ident.Organisation, error) {
+func (d *Directory) Authenticate(q Query) (ident.Organisation, error) {
 	if d == nil {
 		return "", nil
 	}
@@ -111,20 +111,20 @@
 		return "", nil
 	case q.Key == "":
 		return "", fault.New("access.Decide", Denied, "the request carries no key and its route is not public")
-	case q.Age > CurrentTerm:
-		return "", fault.New("access.Decide", Unsure, fmt.Sprintf("the key is not known here, and the configuration was last current %d ms ago", q.Age))
+	case q.ConfigAge > MaxConfigAge:
+		return "", fault.New("access.Decide", Unsure, fmt.Sprintf("the key is not known here, and the configuration was last current %d ms ago", q.ConfigAge))
 	default:
 		return "", fault.New("access.Decide", Denied, "no organisation has this key")
 	}
 }
 
-// Urgent returns the rank of a request of an organisation by a route of the given
+// Priority returns the rank of a request of an organisation by a route of the given
 // rank: the organisation's own comes first.
-func (d *Directory) Urgent(name ident.Organisation, route int) int {
-	if d == nil || d.byName[name] == nil || !d.byName[name].Ranked {
+func (d *Directory) Priority(name ident.Organisation, route int) int {
+	if d == nil || d.byName[name] == nil || !d.byName[name].HasPriority {
 		return route
 	}
-	return d.byName[name].Urgent
+	return d.byName[name].Priority
 }
 
 // Allows tells whether a caller of one organisation may see and end the job of
--- a/kernel/access/access_test.go
+++ b/kernel/access/access_test.go
@@ -21,33 +21,33 @@
 
 func TestDecide(t *testing.T) {
 	d := directory(t,
-		Organisation{Name: "shops", Keys: []ident.Key{"k1", "k2"}, Urgent: 1, Ranked: true},
+		Organisation{Name: "shops", Keys: []ident.Key{"k1", "k2"}, Priority: 1, HasPriority: true},
 		Organisation{Name: "tables", Keys: []ident.Key{"k3"}},
 		Organisation{Name: "keyless"})
-	const stale = CurrentTerm + 1
+	const stale = MaxConfigAge + 1
 	cases := []struct {
 		name string
 		in   *Directory
-		ask  Question
+		ask  Query
 		want ident.Organisation
 		kind Kind
 	}{
-		{"a key in force", d, Question{Key: "k1"}, "shops", ""},
-		{"another key of the same organisation", d, Question{Key: "k2"}, "shops", ""},
-		{"a key in force, by a configuration of before", d, Question{Key: "k3", Age: stale}, "tables", ""},
-		{"an unknown key", d, Question{Key: "k4"}, "", Denied},
-		{"an unknown key, by a configuration of before", d, Question{Key: "k4", Age: stale}, "", Unsure},
-		{"no key", d, Question{}, "", Denied},
-		{"no key, by a configuration of before", d, Question{Age: stale}, "", Denied},
-		{"no key on a public route", d, Question{Public: true}, "", ""},
-		{"an unknown key on a public route", d, Question{Key: "k4", Public: true}, "", ""},
-		{"a key in force on a public route", d, Question{Key: "k3", Public: true}, "tables", ""},
-		{"no organisations", nil, Question{Key: "k1", Age: stale}, "", ""},
-		{"a list without entries", directory(t), Question{Key: "k1"}, "", Denied},
+		{"a key in force", d, Query{Key: "k1"}, "shops", ""},
+		{"another key of the same organisation", d, Query{Key: "k2"}, "shops", ""},
+		{"a key in force, by a configuration of before", d, Query{Key: "k3", ConfigAge: stale}, "tables", ""},
+		{"an unknown key", d, Query{Key: "k4"}, "", Denied},
+		{"an unknown key, by a configuration of before", d, Query{Key: "k4", ConfigAge: stale}, "", Unsure},
+		{"no key", d, Query{}, "", Denied},
+		{"no key, by a configuration of before", d, Query{ConfigAge: stale}, "", Denied},
+		{"no key on a public route", d, Query{Public: true}, "", ""},
+		{"an unknown key on a public route", d, Query{Key: "k4", Public: true}, "", ""},
+		{"a key in force on a public route", d, Query{Key: "k3", Public: true}, "tables", ""},
+		{"no organisations", nil, Query{Key: "k1", ConfigAge: stale}, "", ""},
+		{"a list without entries", directory(t), Query{Key: "k1"}, "", Denied},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := c.in.Decide(c.ask)
+			got, err := c.in.Authenticate(c.ask)
 			if got != c.want || fault.KindOf[Kind](err) != c.kind {
 				t.Errorf("organisation %q, kind %q, want %q and %q", got, fault.KindOf[Kind](err), c.want, c.kind)
 			}
@@ -59,14 +59,14 @@
 }
 
 func TestUrgent(t *testing.T) {
-	d := directory(t, Organisation{Name: "a", Urgent: 1, Ranked: true}, Organisation{Name: "b"})
+	d := directory(t, Organisation{Name: "a", Priority: 1, HasPriority: true}, Organisation{Name: "b"})
 	cases := []struct {
 		in   *Directory
 		name ident.Organisation
 		want int
 	}{{d, "a", 1}, {d, "b", 4}, {d, "", 4}, {d, "unknown", 4}, {nil, "a", 4}}
 	for _, c := range cases {
-		if got := c.in.Urgent(c.name, 4); got != c.want {
+		if got := c.in.Priority(c.name, 4); got != c.want {
 			t.Errorf("%q has rank %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -119,7 +119,7 @@
 		}
 		for _, o := range list {
 			for _, key := range o.Keys {
-				if got, err := d.Decide(Question{Key: key}); err != nil || got != o.Name {
+				if got, err := d.Authenticate(Query{Key: key}); err != nil || got != o.Name {
 					t.Fatalf("a key of %q leads to %q, %v", o.Name, got, err)
 				}
 			}
@@ -146,12 +146,12 @@
 	d := directory(b, list...)
 	b.Run("known", func(b *testing.B) {
 		for b.Loop() {
-			_, _ = d.Decide(Question{Key: "key-999-99"})
+			_, _ = d.Authenticate(Query{Key: "key-999-99"})
 		}
 	})
 	b.Run("unknown", func(b *testing.B) {
 		for b.Loop() {
-			_, _ = d.Decide(Question{Key: "none", Age: clock.Second})
+			_, _ = d.Authenticate(Query{Key: "none", ConfigAge: clock.Second})
 		}
 	})
 }
--- a/kernel/scale/scale.go
+++ b/kernel/scale/scale.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// mostExtra is how many spot engines there may be, as a part of the regular ones.
+	// maxSpotFraction is how many spot engines there may be, as a part of the regular ones.
 	// Each engine more needs each version of the weights loaded, and the store of the
 	// weights serves no more loads for it: with twice the engines a day's worth fell by
 	// 0.064 in one play, with half as many more it rose by 0.007 and 0.015.
-	mostExtra = 0.5
-	// holdTerm is for how long the greatest need counts: three steps, so that a pause
+	maxSpotFraction = 0.5
+	// demandWindow is for how long the greatest need counts: three steps, so that a pause
 	// between two of them orders nothing off.
-	holdTerm = 12 * clock.Second
+	demandWindow = 12 * clock.Second
 )
 
 // Limits are the operator's, for each zone.
 type Limits struct {
-	Least int
-	Most  int
-	// Boot is how long a new engine takes to serve.
-	Boot clock.Millis
+	Min int
+	Max  int
+	// BootTime is how long a new engine takes to serve.
+	BootTime clock.Millis
 	// SpotPrice is the price of a spot engine as a part of a regular one's; 0 is none
 	// to be had.
 	SpotPrice float64
@@ -44,12 +44,12 @@
 type Zone struct {
 	Name    ident.Zone
 	Regular int
-	// Dry tells that no spot engines are to be had there now.
-	Dry bool
+	// SpotUnavailable tells that no spot engines are to be had there now.
+	SpotUnavailable bool
 }
 
-// Need is the greatest number of items that had no result yet within holdTerm.
-type Need struct {
+// Demand is the greatest number of items that had no result yet within holdTerm.
+type Demand struct {
 	samples []sample
 }
 
@@ -58,55 +58,55 @@
 	items int
 }
 
-// Note adds the number of items without a result at a time.
-func (n *Need) Note(at clock.Millis, items int) {
-	n.samples = slices.DeleteFunc(n.samples, func(s sample) bool { return at-s.at > holdTerm || s.items <= items })
-	n.samples = append(n.samples, sample{at: at, items: items})
+// Observe adds the number of items without a result at a time.
+func (d *Demand) Observe(at clock.Millis, items int) {
+	d.samples = slices.DeleteFunc(d.samples, func(s sample) bool { return at-s.at > demandWindow || s.items <= items })
+	d.samples = append(d.samples, sample{at: at, items: items})
 }
 
-// Most returns the need.
-func (n *Need) Most() int {
-	most := 0
-	for _, s := range n.samples {
-		most = max(most, s.items)
+// Peak returns the need.
+func (d *Demand) Peak() int {
+	peak := 0
+	for _, s := range d.samples {
+		peak = max(peak, s.items)
 	}
-	return most
+	return peak
 }
 
-// Spot returns how many spot engines each zone should hold; slots is how many items one
+// DesiredSpot returns how many spot engines each zone should hold; slots is how many items one
 // engine runs at once, and usual how many regular engines there are as a rule: while some
 // of them are lost more are needed, not fewer. Cheaper zones come first where the number can't be shared evenly.
-func Spot(limits Limits, zones []Zone, usual, items, slots int) map[ident.Zone]int {
+func DesiredSpot(limits Limits, zones []Zone, peakRegular, items, slots int) map[ident.Zone]int {
 	desired := map[ident.Zone]int{}
 	if limits.SpotPrice <= 0 || slots <= 0 {
 		return desired
 	}
 	regular := 0
-	var open []Zone
+	var available []Zone
 	for _, z := range zones {
 		desired[z.Name] = 0
 		regular += z.Regular
-		if !z.Dry {
-			open = append(open, z)
+		if !z.SpotUnavailable {
+			available = append(available, z)
 		}
 	}
-	slices.SortFunc(open, func(a, b Zone) int {
+	slices.SortFunc(available, func(a, b Zone) int {
 		return cmp.Or(cmp.Compare(limits.Prices[a.Name], limits.Prices[b.Name]), cmp.Compare(a.Name, b.Name))
 	})
 	missing := (items+slots-1)/slots - regular
-	extra := min(max(missing, 0), int(mostExtra*float64(usual)))
-	for extra > 0 {
-		given := 0
-		for _, z := range open {
-			if extra > given && z.Regular+desired[z.Name] < limits.Most {
+	remaining := min(max(missing, 0), int(maxSpotFraction*float64(peakRegular)))
+	for remaining > 0 {
+		added := 0
+		for _, z := range available {
+			if remaining > added && z.Regular+desired[z.Name] < limits.Max {
 				desired[z.Name]++
-				given++
+				added++
 			}
 		}
-		if given == 0 {
+		if added == 0 {
 			break
 		}
-		extra -= given
+		remaining -= added
 	}
 	return desired
 }
--- a/kernel/scale/scale_test.go
+++ b/kernel/scale/scale_test.go
@@ -9,20 +9,20 @@
 )
 
 func TestSpot(t *testing.T) {
-	limits := Limits{Least: 1, Most: 22, SpotPrice: 0.15, Prices: map[ident.Zone]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9}}
+	limits := Limits{Min: 1, Max: 22, SpotPrice: 0.15, Prices: map[ident.Zone]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9}}
 	zones := func(dry ...ident.Zone) []Zone {
 		var list []Zone
 		for _, name := range []ident.Zone{"a", "b", "c", "d"} {
 			z := Zone{Name: name, Regular: 11}
 			for _, d := range dry {
-				z.Dry = z.Dry || d == name
+				z.SpotUnavailable = z.SpotUnavailable || d == name
 			}
 			list = append(list, z)
 		}
 		return list
 	}
 	crowded := limits
-	crowded.Most = 13
+	crowded.Max = 13
 	none := limits
 	none.SpotPrice = 0
 	cases := []struct {
@@ -43,7 +43,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := Spot(c.limits, c.zones, 44, c.items, 8); !maps.Equal(got, c.want) {
+			if got := DesiredSpot(c.limits, c.zones, 44, c.items, 8); !maps.Equal(got, c.want) {
 				t.Errorf("%v, want %v", got, c.want)
 			}
 		})
@@ -52,19 +52,19 @@
 
 // Trainers ask each 4 s; between two steps nothing is ordered off.
 func TestNeedLastsBetweenSteps(t *testing.T) {
-	var n Need
+	var d Demand
 	for at := clock.Millis(0); at < 20*clock.Second; at += 500 {
 		items := 0
 		if at%(4*clock.Second) < 2*clock.Second {
 			items = 700
 		}
-		n.Note(at, items)
-		if n.Most() != 700 {
-			t.Fatalf("at %d the need is %d, want 700", at, n.Most())
+		d.Observe(at, items)
+		if d.Peak() != 700 {
+			t.Fatalf("at %d the need is %d, want 700", at, d.Peak())
 		}
 	}
-	n.Note(20*clock.Second+holdTerm, 10)
-	if n.Most() != 10 {
-		t.Errorf("long after the last step the need is %d, want 10", n.Most())
+	d.Observe(20*clock.Second+demandWindow, 10)
+	if d.Peak() != 10 {
+		t.Errorf("long after the last step the need is %d, want 10", d.Peak())
 	}
 }
