--- a/croftmoor/admin/admin.go
+++ b/croftmoor/admin/admin.go
@@ -207,7 +207,7 @@
 	list := []teamWire{}
 	for team, entry := range state.Teams {
 		if operatorOf(c).may(team) {
-			list = append(list, teamWire{Team: string(team), Revision: int64(entry.Revision), By: entry.By})
+			list = append(list, teamWire{Team: string(team), Revision: int64(entry.Revision), By: entry.Author})
 		}
 	}
 	slices.SortFunc(list, func(x, y teamWire) int { return strings.Compare(x.Team, y.Team) })
@@ -227,7 +227,7 @@
 	if !ok {
 		return c.JSON(teamWire{Team: string(team)})
 	}
-	return c.JSON(teamWire{Team: string(team), Revision: int64(entry.Revision), By: entry.By, Text: entry.Text})
+	return c.JSON(teamWire{Team: string(team), Revision: int64(entry.Revision), By: entry.Author, Text: entry.Text})
 }
 
 func (a *Admin) history(c fiber.Ctx) error {
@@ -276,12 +276,12 @@
 	if err := json.Unmarshal(c.Body(), &w); err != nil {
 		return refuse.New("admin.apply", refuse.Invalid, "the body is not JSON: "+err.Error(), "send ID, Base, By and Text")
 	}
-	change := conf.Change{ID: ident.RecordID(w.ID), Team: team, Base: ident.Revision(w.Base), By: w.By, Text: slices.Clone(w.Text)}
+	change := conf.Change{ID: ident.RecordID(w.ID), Team: team, Base: ident.Revision(w.Base), Author: w.By, Text: slices.Clone(w.Text)}
 	if change.ID == "" {
 		change.ID = ident.RecordID(ident.NewRandom())
 	}
-	if change.By == "" {
-		change.By = operatorOf(c).Name
+	if change.Author == "" {
+		change.Author = operatorOf(c).Name
 	}
 	expected, err := a.rehearse(change)
 	if err != nil {
@@ -307,7 +307,7 @@
 	if err != nil {
 		return conf.Verdict{}, err
 	}
-	return state.Clone().Judge(change, ident.Offset(state.Revision()+1), a.Clock.Now()), nil
+	return state.Clone().Apply(change, ident.Offset(state.Revision()+1), a.Clock.Now()), nil
 }
 
 // append appends the change until it has been judged. Appending it again is
--- a/kernel/conf/conf_test.go
+++ b/kernel/conf/conf_test.go
@@ -50,7 +50,7 @@
 
 func assertJudged(t *testing.T, s *State, c Change, offset ident.Offset, want Outcome) {
 	t.Helper()
-	if v := s.Judge(c, offset, 0); v.Outcome != want {
+	if v := s.Apply(c, offset, 0); v.Outcome != want {
 		t.Fatalf("%s: %s %s, want %s", c.ID, v.Outcome, v.Reason, want)
 	}
 }
--- a/kernel/conf/state.go
+++ b/kernel/conf/state.go
@@ -29,7 +29,7 @@
 	Team ident.Team
 	// Base is the revision of the team's file that was edited.
 	Base ident.Revision
-	By   string
+	Author   string
 	Text []byte
 }
 
@@ -39,7 +39,7 @@
 	Team     ident.Team
 	Revision ident.Revision
 	At       clock.Millis
-	By       string
+	Author       string
 	Outcome  Outcome
 	Reason   string
 }
@@ -47,7 +47,7 @@
 // Entry is the file in force for one team.
 type Entry struct {
 	Revision ident.Revision
-	By       string
+	Author       string
 	Text     []byte
 	File     *File
 }
@@ -97,13 +97,13 @@
 	return Verdict{}, false
 }
 
-// Judge applies the change at offset. The same id judged again, after an
+// Apply applies the change at offset. The same id judged again, after an
 // append whose answer was lost, keeps its first verdict.
-func (s *State) Judge(change Change, offset ident.Offset, at clock.Millis) Verdict {
+func (s *State) Apply(change Change, offset ident.Offset, at clock.Millis) Verdict {
 	if earlier, ok := s.VerdictOf(change.ID); ok {
 		return earlier
 	}
-	v := Verdict{ID: change.ID, Team: change.Team, Revision: ident.Revision(offset), At: at, By: change.By}
+	v := Verdict{ID: change.ID, Team: change.Team, Revision: ident.Revision(offset), At: at, Author: change.Author}
 	file, err := Parse(change.Text)
 	current := s.Teams[change.Team]
 	switch {
@@ -113,7 +113,7 @@
 		v.Outcome, v.Reason = Refused, fmt.Sprintf("$.Team is %q; the change is for team %q", file.Team, change.Team)
 	case current.Revision != change.Base:
 		v.Outcome = Conflict
-		v.Reason = fmt.Sprintf("edited from revision %d; revision %d by %s is in force", change.Base, current.Revision, current.By)
+		v.Reason = fmt.Sprintf("edited from revision %d; revision %d by %s is in force", change.Base, current.Revision, current.Author)
 	default:
 		v.Outcome, v.Reason = s.accept(change, offset, file)
 	}
@@ -125,7 +125,7 @@
 	if taken := s.takenElsewhere(file); len(taken) > 0 {
 		return Refused, "names that other teams hold: " + strings.Join(taken, ", ")
 	}
-	s.Teams[change.Team] = Entry{Revision: ident.Revision(offset), By: change.By, Text: change.Text, File: file}
+	s.Teams[change.Team] = Entry{Revision: ident.Revision(offset), Author: change.Author, Text: change.Text, File: file}
 	return Accepted, ""
 }
 
@@ -256,7 +256,7 @@
 
 // EncodeChange returns the JSON form of a change.
 func EncodeChange(c Change) ([]byte, error) {
-	return json.Marshal(changeWire{ID: string(c.ID), Team: string(c.Team), Base: int64(c.Base), By: c.By, Text: c.Text})
+	return json.Marshal(changeWire{ID: string(c.ID), Team: string(c.Team), Base: int64(c.Base), By: c.Author, Text: c.Text})
 }
 
 // DecodeChange reads the JSON form of a change.
@@ -265,21 +265,21 @@
 	if err := json.Unmarshal(data, &w); err != nil {
 		return Change{}, corrupt("conf.DecodeChange", err)
 	}
-	return Change{ID: ident.RecordID(w.ID), Team: ident.Team(w.Team), Base: ident.Revision(w.Base), By: w.By, Text: w.Text}, nil
+	return Change{ID: ident.RecordID(w.ID), Team: ident.Team(w.Team), Base: ident.Revision(w.Base), Author: w.By, Text: w.Text}, nil
 }
 
 // VerdictToWire converts a verdict to its JSON form.
 func VerdictToWire(v Verdict) VerdictWire {
 	return VerdictWire{
 		ID: string(v.ID), Team: string(v.Team), Revision: int64(v.Revision), At: int64(v.At),
-		By: v.By, Outcome: string(v.Outcome), Reason: v.Reason,
+		By: v.Author, Outcome: string(v.Outcome), Reason: v.Reason,
 	}
 }
 
 func verdictFromWire(w VerdictWire) Verdict {
 	return Verdict{
 		ID: ident.RecordID(w.ID), Team: ident.Team(w.Team), Revision: ident.Revision(w.Revision), At: clock.Millis(w.At),
-		By: w.By, Outcome: Outcome(w.Outcome), Reason: w.Reason,
+		Author: w.By, Outcome: Outcome(w.Outcome), Reason: w.Reason,
 	}
 }
 
@@ -287,7 +287,7 @@
 func EncodeState(s *State) ([]byte, error) {
 	var w stateWire
 	for team, e := range s.Teams {
-		w.Teams = append(w.Teams, entryWire{Team: string(team), Revision: int64(e.Revision), By: e.By, Text: e.Text})
+		w.Teams = append(w.Teams, entryWire{Team: string(team), Revision: int64(e.Revision), By: e.Author, Text: e.Text})
 	}
 	slices.SortFunc(w.Teams, func(a, b entryWire) int { return strings.Compare(a.Team, b.Team) })
 	for _, v := range s.Verdicts {
@@ -308,7 +308,7 @@
 		if err != nil {
 			return nil, corrupt("conf.DecodeState", err)
 		}
-		s.Teams[ident.Team(e.Team)] = Entry{Revision: ident.Revision(e.Revision), By: e.By, Text: e.Text, File: file}
+		s.Teams[ident.Team(e.Team)] = Entry{Revision: ident.Revision(e.Revision), Author: e.By, Text: e.Text, File: file}
 	}
 	for _, v := range w.Verdicts {
 		s.Verdicts = append(s.Verdicts, verdictFromWire(v))
--- a/kernel/fold/fold.go
+++ b/kernel/fold/fold.go
@@ -206,7 +206,7 @@
 	switch w.Kind {
 	case changeRecord:
 		if change, err := conf.DecodeChange(w.Body); err == nil {
-			state.Conf.Judge(change, record.Offset, record.At)
+			state.Conf.Apply(change, record.Offset, record.At)
 		}
 	case viewsRecord:
 		if proposals, err := views.DecodeProposals(w.Body); err == nil {
