--- a/kernel/scale/scale.go
+++ b/kernel/scale/scale.go
@@ -1,11 +1,10 @@
-// Package scale decides how many engines a service should have beside its regular
-// ones. It is pure.
+// Package scale decides how many spot engines each zone of a service should have. Its
+// functions have no side effects.
 //
-// The load it answers: several trainers ask for a step each 4 s, each step more items
-// than the engines have slots for, while engines fail, turn slow or are cut off. The
-// regular engines are the operator's and are left alone. Spot engines cost a fraction of
-// them and are withdrawn at short notice, so they only carry what the regular ones have
-// no slots for, spread over the zones: all of a zone are withdrawn together.
+// The operator sets the number of regular engines. Spot engines are cheaper but can be
+// withdrawn at short notice, so they only take the load for which the regular engines have
+// no slots. They are spread over the zones, since a zone may lose all of its spot engines
+// at once.
 package scale
 
 import (
@@ -17,38 +16,37 @@
 )
 
 const (
-	// maxSpotFraction is how many spot engines there may be, as a part of the regular ones.
-	// Each engine more needs each version of the weights loaded, and the store of the
-	// weights serves no more loads for it: with twice the engines a day's worth fell by
-	// 0.064 in one play, with half as many more it rose by 0.007 and 0.015.
+	// maxSpotFraction bounds the spot engines as a fraction of the regular ones. Each engine
+	// loads every version of the weights, and more engines would overload the weight store.
 	maxSpotFraction = 0.5
-	// demandWindow is for how long the greatest need counts: three steps, so that a pause
-	// between two of them orders nothing off.
+	// demandWindow is how long a sample counts. It spans several steps, so the pause between
+	// two steps does not remove engines.
 	demandWindow = 12 * clock.Second
 )
 
-// Limits are the operator's, for each zone.
+// Limits are the operator's limits: the Min and Max number of engines in each zone of a
+// service, and their prices.
 type Limits struct {
 	Min int
-	Max  int
-	// BootTime is how long a new engine takes to serve.
+	Max int
+	// BootTime is the time from the order of an engine until it serves.
 	BootTime clock.Millis
-	// SpotPrice is the price of a spot engine as a part of a regular one's; 0 is none
-	// to be had.
+	// SpotPrice is the price of a spot engine as a fraction of a regular engine's; 0 means
+	// that the service has no spot engines.
 	SpotPrice float64
-	// Prices are the zones' prices of an engine's second.
+	// Prices are the prices of one engine for one second, by zone.
 	Prices map[ident.Zone]float64
 }
 
-// Zone is a zone with the engines that serve there and are not leaving.
+// Zone is a zone with the number of regular engines that serve there and are not leaving.
 type Zone struct {
 	Name    ident.Zone
 	Regular int
-	// SpotUnavailable tells that no spot engines are to be had there now.
+	// SpotUnavailable is whether the zone has no spot engines to offer now.
 	SpotUnavailable bool
 }
 
-// Demand is the greatest number of items that had no result yet within holdTerm.
+// Demand tracks the maximum number of items without a result over demandWindow.
 type Demand struct {
 	samples []sample
 }
@@ -58,13 +56,13 @@
 	items int
 }
 
-// Observe adds the number of items without a result at a time.
+// Observe records the number of items without a result at a time.
 func (d *Demand) Observe(at clock.Millis, items int) {
 	d.samples = slices.DeleteFunc(d.samples, func(s sample) bool { return at-s.at > demandWindow || s.items <= items })
 	d.samples = append(d.samples, sample{at: at, items: items})
 }
 
-// Peak returns the need.
+// Peak returns the maximum number of items over demandWindow before the last Observe.
 func (d *Demand) Peak() int {
 	peak := 0
 	for _, s := range d.samples {
@@ -73,9 +71,11 @@
 	return peak
 }
 
-// DesiredSpot returns how many spot engines each zone should hold; slots is how many items one
-// engine runs at once, and usual how many regular engines there are as a rule: while some
-// of them are lost more are needed, not fewer. Cheaper zones come first where the number can't be shared evenly.
+// DesiredSpot returns how many spot engines each zone should have. items is the peak demand
+// and slots the number of items that one engine runs at once. peakRegular is the largest
+// number of regular engines that the service has had; maxSpotFraction applies to it, so lost
+// regular engines do not lower the bound. Available zones get one engine each in turn, the
+// cheapest first, until the demand is covered or limits are reached.
 func DesiredSpot(limits Limits, zones []Zone, peakRegular, items, slots int) map[ident.Zone]int {
 	desired := map[ident.Zone]int{}
 	if limits.SpotPrice <= 0 || slots <= 0 {
--- a/kernel/scale/scale_test.go
+++ b/kernel/scale/scale_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Trainers ask each 4 s; between two steps nothing is ordered off.
+// Guards against removing engines in the pause between two steps.
 func TestNeedLastsBetweenSteps(t *testing.T) {
 	var d Demand
 	for at := clock.Millis(0); at < 20*clock.Second; at += 500 {
@@ -60,11 +60,11 @@
 		}
 		d.Observe(at, items)
 		if d.Peak() != 700 {
-			t.Fatalf("at %d the need is %d, want 700", at, d.Peak())
+			t.Fatalf("at %d the peak demand is %d, want 700", at, d.Peak())
 		}
 	}
 	d.Observe(20*clock.Second+demandWindow, 10)
 	if d.Peak() != 10 {
-		t.Errorf("long after the last step the need is %d, want 10", d.Peak())
+		t.Errorf("after demandWindow the peak demand is %d, want 10", d.Peak())
 	}
 }
