--- a/kernel/wall/wall.go
+++ b/kernel/wall/wall.go
@@ -1,6 +1,5 @@
-// Package wall keeps an instance's idea of true time steady: the host's time of day
-// may jump, the steady clock does not. What all instances reckon in windows of true
-// time must not move with one host's clock.
+// Package wall keeps an instance's wall clock steady. The host's time of day may jump;
+// instances that compare time windows must not follow such a jump of a single host.
 package wall
 
 import (
@@ -13,80 +12,81 @@
 )
 
 const (
-	// slewMost is how far the time of day may move against the steady clock between
-	// two looks and still be followed: services that correct it slowly stay far below.
-	slewMost = 100 * clock.Millis(1)
-	// believeTerm is how long a jump must last before it is taken for a correction;
-	// the users' platform has clocks that jump by 2 s for some seconds.
-	believeTerm = 20 * clock.Second
-	period      = 500 * clock.Millis(1)
+	// maxSlew is the largest change of the time of day against the monotonic clock, between
+	// two checks, that is followed at once.
+	maxSlew = 100 * clock.Millis(1)
+	// acceptDelay is how long a jump must last until it is accepted as a correction. Clocks
+	// may jump for some seconds and then return.
+	acceptDelay = 20 * clock.Second
+	checkPeriod = 500 * clock.Millis(1)
 )
 
-// Clock tells true time. Set Clock and Log before use.
+// Clock is a wall clock that ignores short jumps of the host's time of day. Set Clock and
+// Log before use. The other fields are guarded by mu.
 type Clock struct {
 	Clock *clock.Clock
 	Log   zerolog.Logger
 
-	mu    sync.Mutex
-	state state
-	set   bool
+	mu          sync.Mutex
+	state       state
+	initialized bool
 }
 
-// state is what is known of the time of day. Offset is true time less steady time;
-// apart tells that the host differs from it, since a steady time.
+// state holds offset, the accepted wall time minus monotonic time. jumped is whether the
+// host's clock differs from it, since the monotonic time jumpedAt.
 type state struct {
-	offset clock.Millis
-	apart  bool
-	since  clock.Millis
+	offset   clock.Millis
+	jumped   bool
+	jumpedAt clock.Millis
 }
 
-// look judges a new reading of the time of day, less the steady time, at a steady
-// time.
-func (s state) look(seen, now clock.Millis) state {
-	off := seen - s.offset
+// next returns the state after a reading (time of day minus monotonic time) at the
+// monotonic time now.
+func (s state) next(reading, now clock.Millis) state {
+	deviation := reading - s.offset
 	switch {
-	case off >= -slewMost && off <= slewMost:
-		return state{offset: seen}
-	case !s.apart:
-		return state{offset: s.offset, apart: true, since: now}
-	case now-s.since >= believeTerm:
-		return state{offset: seen}
+	case deviation >= -maxSlew && deviation <= maxSlew:
+		return state{offset: reading}
+	case !s.jumped:
+		return state{offset: s.offset, jumped: true, jumpedAt: now}
+	case now-s.jumpedAt >= acceptDelay:
+		return state{offset: reading}
 	default:
 		return s
 	}
 }
 
-// Run follows the time of day until ctx ends.
+// Run checks the host's time of day every checkPeriod until ctx ends.
 func (c *Clock) Run(ctx context.Context) {
-	c.Clock.Every(ctx, period, c.check)
+	c.Clock.Every(ctx, checkPeriod, c.check)
 }
 
 func (c *Clock) check() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Clock.Mono()
-	seen := c.Clock.Now() - now
-	before := c.first(seen)
-	c.state = before.look(seen, now)
-	if c.state.apart != before.apart || c.state.offset-before.offset > slewMost || before.offset-c.state.offset > slewMost {
-		c.Log.Warn().Bool("Believed", !c.state.apart).Int64("OffMillis", int64(seen-before.offset)).Msg("time of day jumped")
+	reading := c.Clock.Now() - now
+	before := c.initState(reading)
+	c.state = before.next(reading, now)
+	if c.state.jumped != before.jumped || c.state.offset-before.offset > maxSlew || before.offset-c.state.offset > maxSlew {
+		c.Log.Warn().Bool("Believed", !c.state.jumped).Int64("OffMillis", int64(reading-before.offset)).Msg("jump of the host clock detected, accepted or over")
 	}
 }
 
-// first returns the state, set to the first reading if there was none; mu is held.
-func (c *Clock) first(seen clock.Millis) state {
-	if !c.set {
-		c.set, c.state = true, state{offset: seen}
+// initState returns the state, which the first reading initializes; the caller holds mu.
+func (c *Clock) initState(reading clock.Millis) state {
+	if !c.initialized {
+		c.initialized, c.state = true, state{offset: reading}
 	}
 	return c.state
 }
 
-// At returns the true time of a point of the steady clock.
+// At returns the wall time at a monotonic time.
 func (c *Clock) At(mono clock.Millis) clock.Millis {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return mono + c.first(c.Clock.Now()-c.Clock.Mono()).offset
+	return mono + c.initState(c.Clock.Now()-c.Clock.Mono()).offset
 }
 
-// Now returns true time.
+// Now returns the current wall time.
 func (c *Clock) Now() clock.Millis { return c.At(c.Clock.Mono()) }
