--- a/kernel/access/access_test.go
+++ b/kernel/access/access_test.go
@@ -26,11 +26,11 @@
 		Organisation{Name: "keyless"})
 	const stale = MaxConfigAge + 1
 	cases := []struct {
-		name string
-		in   *Directory
-		ask  Query
-		want ident.Organisation
-		kind Kind
+		name      string
+		directory *Directory
+		query     Query
+		want      ident.Organisation
+		kind      Kind
 	}{
 		{"a key in force", d, Query{Key: "k1"}, "shops", ""},
 		{"another key of the same organisation", d, Query{Key: "k2"}, "shops", ""},
@@ -47,7 +47,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := c.in.Authenticate(c.ask)
+			got, err := c.directory.Authenticate(c.query)
 			if got != c.want || fault.KindOf[Kind](err) != c.kind {
 				t.Errorf("organisation %q, kind %q, want %q and %q", got, fault.KindOf[Kind](err), c.want, c.kind)
 			}
@@ -61,12 +61,12 @@
 func TestUrgent(t *testing.T) {
 	d := directory(t, Organisation{Name: "a", Priority: 1, HasPriority: true}, Organisation{Name: "b"})
 	cases := []struct {
-		in   *Directory
-		name ident.Organisation
-		want int
+		directory *Directory
+		name      ident.Organisation
+		want      int
 	}{{d, "a", 1}, {d, "b", 4}, {d, "", 4}, {d, "unknown", 4}, {nil, "a", 4}}
 	for _, c := range cases {
-		if got := c.in.Priority(c.name, 4); got != c.want {
+		if got := c.directory.Priority(c.name, 4); got != c.want {
 			t.Errorf("%q has rank %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -82,7 +82,7 @@
 	for name, list := range cases {
 		t.Run(name, func(t *testing.T) {
 			if d, err := NewDirectory(list); d != nil || fault.KindOf[Kind](err) != Invalid {
-				t.Errorf("directory %v, error %v, want a refusal", d, err)
+				t.Errorf("directory %v, error %v, want an Invalid error", d, err)
 			}
 		})
 	}
@@ -93,12 +93,12 @@
 
 func TestAllows(t *testing.T) {
 	if !Allows("a", "a") || !Allows("a", "") || !Allows("", "") || Allows("a", "b") || Allows("", "b") {
-		t.Error("a job is its organisation's, or everybody's if it has none")
+		t.Error("a job must be accessible to its organisation only, or to everyone if it has none")
 	}
 }
 
-// FuzzNewDirectory checks that each key of an accepted list leads to one
-// organisation that has it, whatever the list.
+// FuzzNewDirectory checks that each key of an accepted list belongs to the organisation
+// that lists it.
 func FuzzNewDirectory(f *testing.F) {
 	f.Add("a=k1,k2;b=k3")
 	f.Add("a=k1;b=k1")
@@ -120,14 +120,14 @@
 		for _, o := range list {
 			for _, key := range o.Keys {
 				if got, err := d.Authenticate(Query{Key: key}); err != nil || got != o.Name {
-					t.Fatalf("a key of %q leads to %q, %v", o.Name, got, err)
+					t.Fatalf("a key of %q belongs to %q, %v", o.Name, got, err)
 				}
 			}
 		}
 	})
 }
 
-// BenchmarkDecide looks a key up among 100,000.
+// BenchmarkDecide builds a directory of 100,000 keys and looks keys up in it.
 func BenchmarkDecide(b *testing.B) {
 	var list []Organisation
 	for n := range 1000 {
