--- a/kernel/admit/admit.go
+++ b/kernel/admit/admit.go
@@ -129,11 +129,11 @@
 func (l *Limiter) refuseAt(now clock.Millis, position int, wait clock.Millis, reason string) Decision {
 	overShare := l.overShare(position)
 	removed := l.queue.remove(position)
-	retryAfter := wait + baseRetryAfter
+	delay := wait + baseRetryAfter
 	if l.Adaptive != nil && l.Adaptive.Rate() > 0 {
-		retryAfter = l.retryAfter(now, overShare)
+		delay = l.retryAfter(now, overShare)
 	}
-	return l.describe(Decision{Verdict: Refuse, Ticket: removed, Reason: reason, RetryAfter: retryAfter})
+	return l.describe(Decision{Verdict: Refuse, Ticket: removed, Reason: reason, RetryAfter: delay})
 }
 
 // Done ends a started request that ran for the given duration. It returns the tickets that
--- a/kernel/admit/load_test.go
+++ b/kernel/admit/load_test.go
@@ -91,11 +91,11 @@
 	return last
 }
 
-var sequence int
+var lastSequence int
 
 func (l *simulation) after(span clock.Millis, do func()) {
-	sequence++
-	heap.Push(&l.events, event{at: l.now + max(span, 0), seq: sequence, do: do})
+	lastSequence++
+	heap.Push(&l.events, event{at: l.now + max(span, 0), seq: lastSequence, do: do})
 }
 
 // run simulates until the time to and returns the tally of all calls. Calls that begin
@@ -136,7 +136,7 @@
 func (l *simulation) scheduleArrival(from clock.Millis) {
 	span := l.random.ExpFloat64() * 1000 / l.rate(l.now)
 	l.after(clock.Millis(math.Round(span)), func() {
-		c := &call{began: l.now, deadline: l.now + loadDeadline, organisation: l.whose()}
+		c := &call{began: l.now, deadline: l.now + loadDeadline, organisation: l.pickOrganisation()}
 		if l.now < from {
 			c.organisation = "before"
 		}
@@ -149,7 +149,7 @@
 	})
 }
 
-func (l *simulation) whose() ident.Organisation {
+func (l *simulation) pickOrganisation() ident.Organisation {
 	if l.organisations == 0 || l.random.Float64() < l.big/(l.big+float64(l.organisations)) {
 		return "big"
 	}
@@ -169,7 +169,7 @@
 	decision, refused := limiter.Offer(l.now, Request{Organisation: c.organisation, StartBy: l.now + loadObjective - 2*loadNetworkDelay, Deadline: c.deadline})
 	l.pending[c.instance][decision.Ticket.ID] = c
 	l.decide(c.instance, append(refused, decision))
-	l.next(c.instance)
+	l.scheduleAdvance(c.instance)
 }
 
 func (l *simulation) decide(instance int, decisions []Decision) {
@@ -187,7 +187,7 @@
 	}
 }
 
-func (l *simulation) next(instance int) {
+func (l *simulation) scheduleAdvance(instance int) {
 	at, ok := l.limiters[instance].NextAdvance(l.now)
 	if !ok {
 		return
@@ -199,7 +199,7 @@
 		}
 		if len(refused) > 0 {
 			l.decide(instance, refused)
-			l.next(instance)
+			l.scheduleAdvance(instance)
 		}
 	})
 }
