--- a/kernel/admit/admit.go
+++ b/kernel/admit/admit.go
@@ -1,6 +1,5 @@
-// Package admit decides which callers' requests start, wait or are refused at
-// once. A request whose deadline can't be met is refused when that is known, not
-// when the deadline has passed.
+// Package admit decides which callers' requests start, wait or are refused. It refuses a
+// request as soon as its deadline cannot be met, without waiting for the deadline to pass.
 package admit
 
 import (
@@ -18,74 +17,74 @@
 	Refuse Verdict = "Refuse"
 )
 
-// Reasons of refusals.
+// Reasons of refusals. They are also values of log fields.
 const (
-	OverRate    = "the class is over its rate"
-	QueueFull   = "the class's queue is full"
-	TooLate     = "the deadline would pass in the queue"
-	NoRoom      = "the servers have no room in time"
-	deadlineNow = "the deadline passed in the queue"
-	callerLeft  = "the caller has left the queue"
+	OverRate       = "the class is over its rate"
+	QueueFull      = "the class's queue is full"
+	TooLate        = "the deadline would pass in the queue"
+	NoCapacity     = "the servers have no room in time"
+	deadlinePassed = "the deadline passed in the queue"
+	callerCanceled = "the caller has left the queue"
 )
 
-// Decision is a verdict with its reason and, for a refusal, when to come back.
+// Decision is a verdict with its reason. RetryAfter is set for refusals only.
 type Decision struct {
 	Verdict    Verdict
 	Ticket     Ticket
 	Reason     string
 	RetryAfter clock.Millis
-	// Waiting is how many requests stand in the queue, Rate the learnt rate in requests
-	// a second, 0 if there is none.
+	// Waiting is the number of queued requests. Rate is the rate limit that the
+	// AdaptiveLimiter has learned, in requests per second; 0 is no limit.
 	Waiting int
 	Rate    float64
 }
 
 const (
-	// burst is how many seconds of the rate may come at once.
-	burst = 1.0
-	// smoothing weighs a new service time against the mean so far.
-	smoothing = 0.1
-	firstMean = 20.0
-	leastWait = 50 * clock.Millis(1)
+	// burstSeconds is the capacity of the token bucket, in seconds of the rate.
+	burstSeconds = 1.0
+	// serviceTimeWeight is the weight of a new service time in the moving average.
+	serviceTimeWeight    = 0.1
+	initialServiceMillis = 20.0
+	baseRetryAfter       = 50 * clock.Millis(1)
 )
 
-// Limiter holds the limits of one class, or of one service, at one instance. It has no
-// lock of its own.
+// Limiter applies the limits of one class of callers, or of one service, at one instance.
+// It is not safe for concurrent use.
 type Limiter struct {
-	// Rate and Concurrency are the configured limits; 0 is no limit.
+	// Rate (requests per second) and Concurrency are the configured limits; 0 is no limit.
 	Rate        float64
 	Concurrency int
-	// Queue is how many may wait.
-	Queue int
-	// Room is the learnt limit; nil is none.
-	Room *Room
+	// MaxQueued is the maximum number of waiting requests.
+	MaxQueued int
+	// Adaptive is the learned rate limit; nil is no limit.
+	Adaptive *AdaptiveLimiter
 
-	running int
-	line    line
-	returns returns
-	saved   float64
-	filled  clock.Millis
-	mean    float64
-	nextID  int64
+	running           int
+	queue             fairQueue
+	retries           retrySchedule
+	tokens            float64
+	refilledAt        clock.Millis
+	meanServiceMillis float64
+	nextID            int64
 }
 
-// Offer decides on a request. Requests that waited and can't start in time any more,
-// since this one goes before them, are returned as refused.
-func (l *Limiter) Offer(now clock.Millis, ask Ask) (decision Decision, refused []Decision) {
-	if !l.earn(now) {
-		return l.describe(Decision{Verdict: Refuse, Reason: OverRate, RetryAfter: clock.Millis(1000/max(l.Rate, 1)) + leastWait}), nil
+// Offer decides on a request at the time now. If the request overtakes waiting ones that
+// then cannot start in time, Offer returns these as refused.
+func (l *Limiter) Offer(now clock.Millis, ask Request) (decision Decision, refused []Decision) {
+	if !l.takeToken(now) {
+		return l.describe(Decision{Verdict: Refuse, Reason: OverRate, RetryAfter: clock.Millis(1000/max(l.Rate, 1)) + baseRetryAfter}), nil
 	}
 	l.nextID++
-	if l.Room != nil {
-		l.line.newest = true
-		ask.StartBy -= l.Room.CallTime()
+	if l.Adaptive != nil {
+		l.queue.newestFirst = true
+		ask.StartBy -= l.Adaptive.MeanLatency()
 	}
-	ticket := Ticket{ID: l.nextID, Ask: ask}
-	if len(l.line.waiting) == 0 && l.take(now, l.line.isAhead(ask.Organisation)) {
-		l.line.pass(ask.Organisation)
+	ticket := Ticket{ID: l.nextID, Request: ask}
+	if len(l.queue.waiting) == 0 && l.tryStart(now, l.queue.isOverShare(ask.Organisation)) {
+		l.queue.startImmediately(ask.Organisation)
 		return l.describe(Decision{Verdict: Start, Ticket: ticket, Reason: "there is room"}), nil
 	}
-	l.line.insert(ticket)
+	l.queue.insert(ticket)
 	decision = Decision{Verdict: Wait, Ticket: ticket, Reason: "waits for its turn"}
 	for _, r := range l.refuse(now) {
 		if r.Ticket.ID == ticket.ID {
@@ -98,159 +97,162 @@
 }
 
 func (l *Limiter) describe(d Decision) Decision {
-	d.Waiting = len(l.line.waiting)
-	if l.Room != nil {
-		d.Rate = l.Room.Rate()
+	d.Waiting = len(l.queue.waiting)
+	if l.Adaptive != nil {
+		d.Rate = l.Adaptive.Rate()
 	}
 	return d
 }
 
-// refuse takes out those who can't start in time, and those beyond the queue's end.
+// refuse removes the requests that cannot start in time and those beyond MaxQueued.
 func (l *Limiter) refuse(now clock.Millis) []Decision {
 	var refused []Decision
-	for at := 0; at < len(l.line.waiting); {
-		wait := l.expected(now, at)
-		if now+wait <= l.line.waiting[at].StartBy {
-			at++
+	for position := 0; position < len(l.queue.waiting); {
+		wait := l.expectedWait(now, position)
+		if now+wait <= l.queue.waiting[position].StartBy {
+			position++
 			continue
 		}
 		reason := TooLate
-		if l.Room != nil {
-			reason = NoRoom
+		if l.Adaptive != nil {
+			reason = NoCapacity
 		}
-		refused = append(refused, l.turnAway(now, at, wait, reason))
+		refused = append(refused, l.refuseAt(now, position, wait, reason))
 	}
-	for len(l.line.waiting) > l.Queue {
-		last := len(l.line.waiting) - 1
-		refused = append(refused, l.turnAway(now, last, l.expected(now, last), QueueFull))
+	for len(l.queue.waiting) > l.MaxQueued {
+		last := len(l.queue.waiting) - 1
+		refused = append(refused, l.refuseAt(now, last, l.expectedWait(now, last), QueueFull))
 	}
 	return refused
 }
 
-func (l *Limiter) turnAway(now clock.Millis, at int, wait clock.Millis, reason string) Decision {
-	ahead := l.ahead(at)
-	gone := l.line.remove(at)
-	after := wait + leastWait
-	if l.Room != nil && l.Room.Rate() > 0 {
-		after = l.comeBack(now, ahead)
+func (l *Limiter) refuseAt(now clock.Millis, position int, wait clock.Millis, reason string) Decision {
+	overShare := l.overShare(position)
+	removed := l.queue.remove(position)
+	delay := wait + baseRetryAfter
+	if l.Adaptive != nil && l.Adaptive.Rate() > 0 {
+		delay = l.retryAfter(now, overShare)
 	}
-	return l.describe(Decision{Verdict: Refuse, Ticket: gone, Reason: reason, RetryAfter: after})
+	return l.describe(Decision{Verdict: Refuse, Ticket: removed, Reason: reason, RetryAfter: delay})
 }
 
-// Done ends a started request that took the given time and returns the
-// tickets that start now and those that can't start in time any more.
-func (l *Limiter) Done(now, took clock.Millis) (started []Ticket, refused []Decision) {
+// Done ends a started request that ran for the given duration. It returns the tickets that
+// start now and the decisions on those that cannot start in time.
+func (l *Limiter) Done(now, duration clock.Millis) (started []Ticket, refused []Decision) {
 	l.running--
-	l.mean = l.meanTime()*(1-smoothing) + float64(took)*smoothing
+	l.meanServiceMillis = l.serviceMillis()*(1-serviceTimeWeight) + float64(duration)*serviceTimeWeight
 	return l.Advance(now)
 }
 
-// Advance returns the tickets that start now and those that can't start in time any more.
+// Advance returns the tickets that start now and the decisions on those that cannot start
+// in time.
 func (l *Limiter) Advance(now clock.Millis) (started []Ticket, refused []Decision) {
 	refused = l.refuse(now)
-	for len(l.line.waiting) > 0 && l.take(now, l.ahead(0)) {
-		started = append(started, l.line.pop())
+	for len(l.queue.waiting) > 0 && l.tryStart(now, l.overShare(0)) {
+		started = append(started, l.queue.pop())
 	}
 	return started, refused
 }
 
-// Next returns when Advance should be called for the learnt rate; ok is false if nothing
-// waits for it.
-func (l *Limiter) Next(now clock.Millis) (at clock.Millis, ok bool) {
-	if l.Room == nil || len(l.line.waiting) == 0 {
+// NextAdvance returns the time at which the learned rate allows the first waiting request,
+// when the caller should call Advance. ok is false if no request waits for the rate.
+func (l *Limiter) NextAdvance(now clock.Millis) (at clock.Millis, ok bool) {
+	if l.Adaptive == nil || len(l.queue.waiting) == 0 {
 		return 0, false
 	}
-	return now + max(l.Room.Wait(now, 1, l.ahead(0)), 1), true
+	return now + max(l.Adaptive.ExpectedWait(now, 1, l.overShare(0)), 1), true
 }
 
-// Leave removes a waiting ticket. It reports false if the ticket no longer waits.
-func (l *Limiter) Leave(ticket Ticket) bool {
-	i := l.line.find(ticket.ID)
+// Cancel removes a waiting ticket. It returns false if the ticket no longer waits.
+func (l *Limiter) Cancel(ticket Ticket) bool {
+	i := l.queue.find(ticket.ID)
 	if i < 0 {
 		return false
 	}
-	l.line.remove(i)
+	l.queue.remove(i)
 	return true
 }
 
-// Running returns how many requests run.
+// Running returns the number of running requests.
 func (l *Limiter) Running() int {
 	return l.running
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of queued requests.
 func (l *Limiter) Waiting() int {
-	return len(l.line.waiting)
+	return len(l.queue.waiting)
 }
 
-// take starts one request if both limits allow it. Ahead tells that its organisation is
-// ahead of its share.
-func (l *Limiter) take(now clock.Millis, ahead bool) bool {
+// tryStart starts one request if both limits allow it. overShare is whether its
+// organisation is over its fair share.
+func (l *Limiter) tryStart(now clock.Millis, overShare bool) bool {
 	if l.Concurrency > 0 && l.running >= l.Concurrency {
 		return false
 	}
-	if l.Room != nil && !l.Room.Take(now, ahead) {
+	if l.Adaptive != nil && !l.Adaptive.TryAcquire(now, overShare) {
 		return false
 	}
 	l.running++
 	return true
 }
 
-func (l *Limiter) earn(now clock.Millis) bool {
+func (l *Limiter) takeToken(now clock.Millis) bool {
 	if l.Rate <= 0 {
 		return true
 	}
-	most := max(l.Rate*burst, 1)
-	if l.filled == 0 {
-		l.saved = most
+	capacity := max(l.Rate*burstSeconds, 1)
+	if l.refilledAt == 0 {
+		l.tokens = capacity
 	} else {
-		l.saved = min(most, l.saved+l.Rate*float64(now-l.filled)/float64(clock.Second))
+		l.tokens = min(capacity, l.tokens+l.Rate*float64(now-l.refilledAt)/float64(clock.Second))
 	}
-	l.filled = now
-	if l.saved < 1 {
+	l.refilledAt = now
+	if l.tokens < 1 {
 		return false
 	}
-	l.saved--
+	l.tokens--
 	return true
 }
 
-func (l *Limiter) meanTime() float64 {
-	if l.mean == 0 {
-		return firstMean
+func (l *Limiter) serviceMillis() float64 {
+	if l.meanServiceMillis == 0 {
+		return initialServiceMillis
 	}
-	return l.mean
+	return l.meanServiceMillis
 }
 
-// ahead tells whether the organisation of a waiting request is ahead of its share.
-func (l *Limiter) ahead(at int) bool { return l.line.waiting[at].start > l.line.now }
+// overShare reports whether the organisation of a waiting request is over its fair share.
+func (l *Limiter) overShare(position int) bool {
+	return l.queue.waiting[position].virtualStart > l.queue.virtualTime
+}
 
-// expected returns how long a waiting request still waits.
-func (l *Limiter) expected(now clock.Millis, at int) clock.Millis {
-	place := at + 1
+// expectedWait returns how long the waiting request at an index (0 first) will still wait.
+func (l *Limiter) expectedWait(now clock.Millis, index int) clock.Millis {
+	position := index + 1
 	var wait clock.Millis
 	if l.Concurrency > 0 {
-		wait = clock.Millis(l.meanTime() * float64(place) / float64(l.Concurrency))
+		wait = clock.Millis(l.serviceMillis() * float64(position) / float64(l.Concurrency))
 	}
-	if l.Room != nil {
-		wait = max(wait, l.Room.Wait(now, place, l.ahead(at)))
+	if l.Adaptive != nil {
+		wait = max(wait, l.Adaptive.ExpectedWait(now, position, l.overShare(index)))
 	}
 	return wait
 }
 
-// ComeBack returns when a caller should come back who was let in, but found the servers
-// full.
-func (l *Limiter) ComeBack(now clock.Millis, organisation ident.Organisation) clock.Millis {
-	if l.Room == nil || l.Room.Rate() == 0 {
-		return leastWait
+// RetryAfter returns the retry delay for a caller that was admitted but found the backend
+// servers full.
+func (l *Limiter) RetryAfter(now clock.Millis, organisation ident.Organisation) clock.Millis {
+	if l.Adaptive == nil || l.Adaptive.Rate() == 0 {
+		return baseRetryAfter
 	}
-	return l.comeBack(now, l.line.isAhead(organisation))
+	return l.retryAfter(now, l.queue.isOverShare(organisation))
 }
 
-// comeBack gives those whose organisation is ahead of its share the next free moment. The
-// others come to another instance at once: they are refused only where many of them meet.
-func (l *Limiter) comeBack(now clock.Millis, ahead bool) clock.Millis {
-	if !ahead {
-		return soonest
+// retryAfter spreads the retries of organisations that are over their fair share at the
+// learned rate. Others may retry at once, since another instance probably has capacity.
+func (l *Limiter) retryAfter(now clock.Millis, overShare bool) clock.Millis {
+	if !overShare {
+		return minRetryDelay
 	}
-	return l.returns.after(now, l.Room.Rate())
+	return l.retries.assignDelay(now, l.Adaptive.Rate())
 }
--- a/kernel/admit/admit_test.go
+++ b/kernel/admit/admit_test.go
@@ -14,17 +14,19 @@
 	}
 }
 
-// until asks for nobody, by one deadline.
-func until(deadline clock.Millis) Ask { return Ask{StartBy: deadline, Until: deadline} }
+// requestUntil returns a request without an organisation that must start by its deadline.
+func requestUntil(deadline clock.Millis) Request {
+	return Request{StartBy: deadline, Deadline: deadline}
+}
 
 func offer(l *Limiter, now, deadline clock.Millis) Decision {
-	d, _ := l.Offer(now, until(deadline))
+	d, _ := l.Offer(now, requestUntil(deadline))
 	return d
 }
 
 func TestLimiter(t *testing.T) {
 	t.Run("the earliest deadline goes first", func(t *testing.T) {
-		l := &Limiter{Rate: 1000, Concurrency: 1, Queue: 10}
+		l := &Limiter{Rate: 1000, Concurrency: 1, MaxQueued: 10}
 		assertVerdict(t, offer(l, 1, 1000), Start, "")
 		late := offer(l, 1, 900)
 		soon := offer(l, 1, 500)
@@ -35,14 +37,14 @@
 		}
 	})
 	t.Run("what can't be in time is refused at once", func(t *testing.T) {
-		l := &Limiter{Rate: 1000, Concurrency: 1, Queue: 100}
+		l := &Limiter{Rate: 1000, Concurrency: 1, MaxQueued: 100}
 		offer(l, 1, 1000)
 		for range 5 {
 			offer(l, 1, 1000)
 		}
 		d := offer(l, 1, 400)
 		assertVerdict(t, d, Wait, "")
-		// Behind the one that runs, 14 start within 300 ms at 20 ms each.
+		// 15 requests can start within 300 ms at 20 ms each.
 		refused := 0
 		for range 20 {
 			if d = offer(l, 1, 301); d.Verdict == Refuse {
@@ -50,36 +52,36 @@
 				refused++
 			}
 			if d.Verdict == Refuse && d.RetryAfter <= 0 {
-				t.Fatal("a refusal must say when to come back")
+				t.Fatal("refusal without a RetryAfter")
 			}
 		}
 		if refused != 5 || l.Waiting() != 15+1+5 {
-			t.Fatalf("%d refused, %d wait", refused, l.Waiting())
+			t.Fatalf("%d refused, %d waiting", refused, l.Waiting())
 		}
 	})
 	t.Run("those whom an urgent one makes late are refused at once", func(t *testing.T) {
-		l := &Limiter{Rate: 1000, Concurrency: 1, Queue: 100}
+		l := &Limiter{Rate: 1000, Concurrency: 1, MaxQueued: 100}
 		offer(l, 1, 1000)
 		last := offer(l, 1, 21)
 		assertVerdict(t, last, Wait, "")
-		first, refused := l.Offer(1, Ask{StartBy: 500, Until: 20})
+		first, refused := l.Offer(1, Request{StartBy: 500, Deadline: 20})
 		assertVerdict(t, first, Wait, "")
 		if len(refused) != 1 || refused[0].Ticket.ID != last.Ticket.ID || refused[0].RetryAfter <= 0 {
 			t.Fatalf("refused %v", refused)
 		}
 	})
 	t.Run("over the rate and with a full queue", func(t *testing.T) {
-		l := &Limiter{Rate: 2, Concurrency: 10, Queue: 10}
+		l := &Limiter{Rate: 2, Concurrency: 10, MaxQueued: 10}
 		offer(l, 1, 1000)
 		offer(l, 1, 1000)
 		assertVerdict(t, offer(l, 1, 1000), Refuse, OverRate)
 		assertVerdict(t, offer(l, 1001, 2000), Start, "")
-		full := &Limiter{Rate: 100, Concurrency: 1, Queue: 0}
+		full := &Limiter{Rate: 100, Concurrency: 1, MaxQueued: 0}
 		offer(full, 1, 1000)
 		assertVerdict(t, offer(full, 1, 1000), Refuse, QueueFull)
 	})
 	t.Run("waiters whose deadline has passed are told so", func(t *testing.T) {
-		l := &Limiter{Rate: 100, Concurrency: 1, Queue: 5}
+		l := &Limiter{Rate: 100, Concurrency: 1, MaxQueued: 5}
 		offer(l, 1, 1000)
 		offer(l, 1, 50)
 		started, expired := l.Done(60, 59)
@@ -91,15 +93,15 @@
 
 func TestGate(t *testing.T) {
 	g := &Gate{Clock: clock.New()}
-	g.Limit(1000, 1, 5)
-	leave, _, err := g.Enter(context.Background(), until(g.Clock.Mono()+clock.Minute))
+	g.SetLimits(1000, 1, 5)
+	leave, _, err := g.Enter(context.Background(), requestUntil(g.Clock.Mono()+clock.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, _, err := g.Enter(ctx, until(g.Clock.Mono()+clock.Minute)); err == nil {
-		t.Fatal("a caller that has gone was let in")
+	if _, _, err := g.Enter(ctx, requestUntil(g.Clock.Mono()+clock.Minute)); err == nil {
+		t.Fatal("a canceled caller was admitted")
 	}
 	leave()
 	running, waiting := g.Load()
--- a/kernel/admit/gate.go
+++ b/kernel/admit/gate.go
@@ -23,79 +23,81 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Gate lets requests of one class, or to one service, through a Limiter. Set the exported
-// fields before use. Its state is guarded by mu.
+// Gate makes requests of one class, or to one service, wait until a Limiter admits them.
+// Set the exported fields before use. The other fields are guarded by mu.
 type Gate struct {
 	Clock *clock.Clock
-	// Room is the learnt limit; nil is none.
-	Room *Room
+	// Adaptive is the learned rate limit; nil is no limit. SetLimits applies it.
+	Adaptive *AdaptiveLimiter
 
 	mu      sync.Mutex
 	limiter Limiter
-	turns   map[int64]chan Decision
+	waiters map[int64]chan Decision
 	timer   *time.Timer
 }
 
-// Limit sets the limits; requests that run or wait stay.
-func (g *Gate) Limit(rate float64, concurrency, queue int) {
+// SetLimits sets the limits: rate in requests per second, the numbers of running and of
+// waiting requests. Requests that already run or wait are not affected.
+func (g *Gate) SetLimits(rate float64, concurrency, queue int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limiter.Rate = rate
 	g.limiter.Concurrency = concurrency
-	g.limiter.Queue = queue
-	g.limiter.Room = g.Room
+	g.limiter.MaxQueued = queue
+	g.limiter.Adaptive = g.Adaptive
 }
 
-// Load returns how many requests run and wait.
+// Load returns the numbers of running and of waiting requests.
 func (g *Gate) Load() (running, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.limiter.Running(), g.limiter.Waiting()
 }
 
-// Rate returns the learnt rate in requests a second; 0 if there is none.
+// Rate returns the learned rate limit in requests per second; 0 is no limit.
 func (g *Gate) Rate() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.Room == nil {
+	if g.Adaptive == nil {
 		return 0
 	}
-	return g.Room.Rate()
+	return g.Adaptive.Rate()
 }
 
-// Note learns from a server's answer.
-func (g *Gate) Note(s Signal) {
+// Observe updates the learned rate limit from a backend server's response. Adaptive must
+// not be nil.
+func (g *Gate) Observe(s Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Room.Note(g.Clock.Mono(), s)
+	g.Adaptive.Observe(g.Clock.Mono(), s)
 }
 
-// ComeBack returns when a caller should come back who was let in, but found the servers
-// full.
-func (g *Gate) ComeBack(organisation ident.Organisation) clock.Millis {
+// RetryAfter returns the retry delay for a caller that was admitted but found the backend
+// servers full.
+func (g *Gate) RetryAfter(organisation ident.Organisation) clock.Millis {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.limiter.ComeBack(g.Clock.Mono(), organisation)
+	return g.limiter.RetryAfter(g.Clock.Mono(), organisation)
 }
 
-// Enter waits for the request's turn. On success the caller must call leave
-// once. The decision of a refusal tells when to come back.
-func (g *Gate) Enter(ctx context.Context, ask Ask) (leave func(), decision Decision, err error) {
+// Enter waits until the request may start. On success the caller must call leave once. On
+// a refusal it returns an error of kind Refused and the decision with its RetryAfter.
+func (g *Gate) Enter(ctx context.Context, ask Request) (leave func(), decision Decision, err error) {
 	g.mu.Lock()
 	decision, refused := g.limiter.Offer(g.Clock.Mono(), ask)
-	var turn chan Decision
+	var decided chan Decision
 	if decision.Verdict == Wait {
-		turn = make(chan Decision, 1)
-		if g.turns == nil {
-			g.turns = map[int64]chan Decision{}
+		decided = make(chan Decision, 1)
+		if g.waiters == nil {
+			g.waiters = map[int64]chan Decision{}
 		}
-		g.turns[decision.Ticket.ID] = turn
+		g.waiters[decision.Ticket.ID] = decided
 	}
-	g.tell(refused)
-	g.arm()
+	g.deliver(refused)
+	g.scheduleAdvance()
 	g.mu.Unlock()
 	if decision.Verdict == Wait {
-		decision = g.await(ctx, decision.Ticket, turn)
+		decision = g.await(ctx, decision.Ticket, decided)
 	}
 	if decision.Verdict == Refuse {
 		return nil, decision, fault.New("admit.Enter", Refused, decision.Reason)
@@ -104,77 +106,78 @@
 	return func() { g.done(started) }, decision, nil
 }
 
-// await returns the decision on a ticket that waits.
-func (g *Gate) await(ctx context.Context, ticket Ticket, turn chan Decision) Decision {
+// await returns the decision on a waiting ticket. It cancels the ticket when ctx ends.
+func (g *Gate) await(ctx context.Context, ticket Ticket, decided chan Decision) Decision {
 	select {
-	case decision := <-turn:
+	case decision := <-decided:
 		return decision
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
-	left := g.limiter.Leave(ticket)
-	delete(g.turns, ticket.ID)
+	canceled := g.limiter.Cancel(ticket)
+	delete(g.waiters, ticket.ID)
 	g.mu.Unlock()
-	if !left {
-		if decision := <-turn; decision.Verdict == Start {
+	if !canceled {
+		if decision := <-decided; decision.Verdict == Start {
 			g.done(g.Clock.Mono())
 		}
 	}
-	reason := deadlineNow
+	reason := deadlinePassed
 	if errors.Is(context.Cause(ctx), context.Canceled) {
-		reason = callerLeft
+		reason = callerCanceled
 	}
-	return Decision{Verdict: Refuse, Ticket: ticket, Reason: reason, RetryAfter: leastWait}
+	return Decision{Verdict: Refuse, Ticket: ticket, Reason: reason, RetryAfter: baseRetryAfter}
 }
 
-func (g *Gate) done(started clock.Millis) {
+func (g *Gate) done(startedAt clock.Millis) {
 	now := g.Clock.Mono()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	turns, refused := g.limiter.Done(now, now-started)
-	g.start(turns)
-	g.tell(refused)
-	g.arm()
+	started, refused := g.limiter.Done(now, now-startedAt)
+	g.startTickets(started)
+	g.deliver(refused)
+	g.scheduleAdvance()
 }
 
-// arm has the queue advanced when the learnt rate allows its first request; mu is held.
-func (g *Gate) arm() {
-	at, ok := g.limiter.Next(g.Clock.Mono())
+// scheduleAdvance sets the timer to the time at which the learned rate allows the first
+// waiting request; the caller holds mu.
+func (g *Gate) scheduleAdvance() {
+	at, ok := g.limiter.NextAdvance(g.Clock.Mono())
 	if !ok {
 		return
 	}
-	span := at - g.Clock.Mono()
+	delay := at - g.Clock.Mono()
 	if g.timer == nil {
-		g.timer = g.Clock.AfterFunc(span, g.advance)
+		g.timer = g.Clock.AfterFunc(delay, g.advance)
 		return
 	}
-	g.timer.Reset(span.Duration())
+	g.timer.Reset(delay.Duration())
 }
 
 func (g *Gate) advance() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	turns, refused := g.limiter.Advance(g.Clock.Mono())
-	g.start(turns)
-	g.tell(refused)
-	g.arm()
+	started, refused := g.limiter.Advance(g.Clock.Mono())
+	g.startTickets(started)
+	g.deliver(refused)
+	g.scheduleAdvance()
 }
 
-// start tells tickets that their turn has come; mu is held.
-func (g *Gate) start(tickets []Ticket) {
+// startTickets delivers a Start decision on each ticket; the caller holds mu.
+func (g *Gate) startTickets(tickets []Ticket) {
 	decisions := make([]Decision, 0, len(tickets))
 	for _, t := range tickets {
 		decisions = append(decisions, g.limiter.describe(Decision{Verdict: Start, Ticket: t, Reason: "its turn has come"}))
 	}
-	g.tell(decisions)
+	g.deliver(decisions)
 }
 
-// tell hands decisions to those who wait for them; mu is held.
-func (g *Gate) tell(decisions []Decision) {
+// deliver sends decisions to the goroutines that wait for them; the caller holds mu.
+func (g *Gate) deliver(decisions []Decision) {
 	for _, d := range decisions {
-		if turn, ok := g.turns[d.Ticket.ID]; ok {
-			turn <- d
-			delete(g.turns, d.Ticket.ID)
+		if decided, ok := g.waiters[d.Ticket.ID]; ok {
+			decided <- d
+			delete(g.waiters, d.Ticket.ID)
 		}
 	}
 }
--- a/kernel/admit/queue.go
+++ b/kernel/admit/queue.go
@@ -8,137 +8,135 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Ask is what the queue goes by for one request.
-type Ask struct {
-	// Organisation is whose request it is; those of nobody share as one organisation.
+// Request is the part of a request that decides its place in the queue.
+type Request struct {
+	// Organisation may be empty; such requests share as one organisation.
 	Organisation ident.Organisation
-	// Rank is its urgency, 0 first.
-	Rank int
-	// StartBy is the latest start that is of use: later ones are refused.
+	// Priority orders requests before everything else; 0 is the highest.
+	Priority int
+	// StartBy is the latest useful start. A request that cannot start by then is refused.
 	StartBy clock.Millis
-	// Until is when the caller stops waiting.
-	Until clock.Millis
+	// Deadline is when the caller stops waiting.
+	Deadline clock.Millis
 }
 
-// Ticket stands for one request.
+// Ticket is a request with its ID in the queue.
 type Ticket struct {
-	Ask
+	Request
 	ID int64
-	// start is its virtual start among the organisations of its rank.
-	start float64
+	// virtualStart is the fair-queueing start tag, compared within a priority.
+	virtualStart float64
 }
 
-// mostOrganisations bounds how many organisations are remembered as ahead of their
-// share.
-const mostOrganisations = 4096
+// maxOrganisations is the number of entries at which nextStart is pruned.
+const maxOrganisations = 4096
 
-// line is the waiting requests in the order in which they start: by rank, among equals by
-// start-time fair queueing between organisations. It answers one organisation that sends
-// many times its share: its requests get later and later virtual starts, so that those of
-// the others go before them, and those that can't start in time any more are its own.
-type line struct {
+// fairQueue holds the waiting requests in the order in which they start: by priority, then
+// by start-time fair queueing between organisations. An organisation that sends more than
+// its share gets later and later virtual starts, so its own requests are the ones that
+// miss their start time.
+type fairQueue struct {
 	waiting []Ticket
-	// next is the earliest virtual start of an organisation's next request.
-	next map[ident.Organisation]float64
-	// now is the virtual time: the virtual start of the request that was started last.
-	now float64
-	// newest has those of one organisation go first who have the most time left, not the
-	// least. Callers who were refused before have less than new ones, and are late whatever
-	// becomes of them; going first they made new ones late in their turn: at 1.2 times what
-	// the servers do 0.29 of it was in time, 0.73 with the newest first (TestRoomInTime's load).
-	newest bool
+	// nextStart is the earliest virtual start of each organisation's next request.
+	nextStart map[ident.Organisation]float64
+	// virtualTime is the latest virtual start of the started requests.
+	virtualTime float64
+	// newestFirst serves the requests of one organisation by the latest deadline first
+	// instead of the earliest. Under overload the oldest requests are late anyway, and
+	// serving them first makes the new ones late too.
+	newestFirst bool
 }
 
-// charge returns the virtual start of a further request of an organisation.
-func (l *line) charge(organisation ident.Organisation) float64 {
-	if l.next == nil || len(l.next) >= mostOrganisations {
-		l.next = l.stillAhead()
+// assignStart returns the virtual start of a new request of an organisation.
+func (l *fairQueue) assignStart(organisation ident.Organisation) float64 {
+	if l.nextStart == nil || len(l.nextStart) >= maxOrganisations {
+		l.nextStart = l.overShareStarts()
 	}
-	start := max(l.now, l.next[organisation])
-	l.next[organisation] = start + 1
+	start := max(l.virtualTime, l.nextStart[organisation])
+	l.nextStart[organisation] = start + 1
 	return start
 }
 
-// stillAhead returns the organisations that are ahead of their share, with the virtual start
-// of their next request; the others need not be remembered.
-func (l *line) stillAhead() map[ident.Organisation]float64 {
+// overShareStarts returns the entries of nextStart that still matter: those of the
+// organisations over their fair share.
+func (l *fairQueue) overShareStarts() map[ident.Organisation]float64 {
 	kept := map[ident.Organisation]float64{}
-	for organisation, next := range l.next {
-		if next > l.now {
+	for organisation, next := range l.nextStart {
+		if next > l.virtualTime {
 			kept[organisation] = next
 		}
 	}
 	return kept
 }
 
-// isAhead tells whether an organisation is ahead of its share: its next request would stand
-// behind one of an organisation that has asked for less.
-func (l *line) isAhead(organisation ident.Organisation) bool {
-	return l.next[organisation] > l.now
+// isOverShare reports whether an organisation is over its fair share: its next request
+// would wait behind those of organisations that have requested less.
+func (l *fairQueue) isOverShare(organisation ident.Organisation) bool {
+	return l.nextStart[organisation] > l.virtualTime
 }
 
-// pass counts a request that starts without waiting.
-func (l *line) pass(organisation ident.Organisation) {
-	l.now = l.charge(organisation)
+// startImmediately accounts for a request that starts without waiting.
+func (l *fairQueue) startImmediately(organisation ident.Organisation) {
+	l.virtualTime = l.assignStart(organisation)
 }
 
-// insert places a request. Its organisation's virtual starts go to its requests in the order
-// in which these go before each other.
-func (l *line) insert(t Ticket) {
-	t.start = l.charge(t.Organisation)
+// insert adds a request. Within one organisation and priority it reassigns the virtual
+// starts so that their order follows precedes.
+func (l *fairQueue) insert(t Ticket) {
+	t.virtualStart = l.assignStart(t.Organisation)
 	for i := range l.waiting {
-		w := &l.waiting[i]
-		if w.same(t) && l.before(t, *w) {
-			w.start, t.start = t.start, w.start
-			*w, t = t, *w
+		waiter := &l.waiting[i]
+		if waiter.sameFlow(t) && l.precedes(t, *waiter) {
+			waiter.virtualStart, t.virtualStart = t.virtualStart, waiter.virtualStart
+			*waiter, t = t, *waiter
 		}
 	}
-	at, _ := slices.BinarySearchFunc(l.waiting, t, order)
+	at, _ := slices.BinarySearchFunc(l.waiting, t, compareTickets)
 	l.waiting = slices.Insert(l.waiting, at, t)
 }
 
-// before tells which of two requests of one organisation goes first.
-func (l *line) before(a, b Ticket) bool {
-	if l.newest {
-		return a.Until > b.Until
+// precedes reports which of two requests of one organisation goes first.
+func (l *fairQueue) precedes(a, b Ticket) bool {
+	if l.newestFirst {
+		return a.Deadline > b.Deadline
 	}
-	return a.Until < b.Until
+	return a.Deadline < b.Deadline
 }
 
-// same tells whether two requests may change places.
-func (t *Ticket) same(other Ticket) bool {
-	return t.Organisation == other.Organisation && t.Rank == other.Rank
+// sameFlow reports whether two requests have the same organisation and priority.
+func (t *Ticket) sameFlow(other Ticket) bool {
+	return t.Organisation == other.Organisation && t.Priority == other.Priority
 }
 
-func order(a, b Ticket) int {
-	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.start, b.start), cmp.Compare(a.ID, b.ID))
+func compareTickets(a, b Ticket) int {
+	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.virtualStart, b.virtualStart), cmp.Compare(a.ID, b.ID))
 }
 
-// pop starts the first request.
-func (l *line) pop() Ticket {
+// pop removes the first request and advances the virtual time to its start.
+func (l *fairQueue) pop() Ticket {
 	first := l.waiting[0]
 	l.waiting = slices.Delete(l.waiting, 0, 1)
-	l.now = max(l.now, first.start)
+	l.virtualTime = max(l.virtualTime, first.virtualStart)
 	return first
 }
 
-// remove takes the request at a place out. Its organisation is not charged for it: its
-// later requests move up by one each.
-func (l *line) remove(at int) Ticket {
-	gone := l.waiting[at]
+// remove removes the request at an index without charging its organisation: each later
+// request of the same flow takes over the virtual start before its own.
+func (l *fairQueue) remove(at int) Ticket {
+	removed := l.waiting[at]
 	l.waiting = slices.Delete(l.waiting, at, at+1)
-	free := gone.start
+	freeStart := removed.virtualStart
 	for i := range l.waiting {
-		if w := &l.waiting[i]; w.same(gone) && w.start > free {
-			w.start, free = free, w.start
+		if waiter := &l.waiting[i]; waiter.sameFlow(removed) && waiter.virtualStart > freeStart {
+			waiter.virtualStart, freeStart = freeStart, waiter.virtualStart
 		}
 	}
-	l.next[gone.Organisation]--
-	slices.SortFunc(l.waiting, order)
-	return gone
+	l.nextStart[removed.Organisation]--
+	slices.SortFunc(l.waiting, compareTickets)
+	return removed
 }
 
-// find returns the place of a request, or -1.
-func (l *line) find(id int64) int {
+// find returns the index of a request, or -1.
+func (l *fairQueue) find(id int64) int {
 	return slices.IndexFunc(l.waiting, func(t Ticket) bool { return t.ID == id })
 }
