--- a/croftctl/client/client.go
+++ b/croftctl/client/client.go
@@ -77,7 +77,7 @@
 	}
 	var last error
 	for _, admin := range c.Admins {
-		last = c.call(ctx, &httpc.Call{Address: admin, Method: http.MethodPost, Path: path, Body: data, Fresh: true}, into)
+		last = c.call(ctx, &httpc.Call{Address: admin, Method: http.MethodPost, Path: path, Body: data, FreshConn: true}, into)
 		if fault.KindOf[Kind](last) != Unreachable {
 			return last
 		}
--- a/croftfake/train/train.go
+++ b/croftfake/train/train.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		return nil, fault.Wrap("train.post", stand.Failed, err, "unencodable body")
 	}
-	call := &httpc.Call{Address: t.Pick(), Method: http.MethodPost, Path: "/v1/trainers/" + t.Name + "/" + what, Body: data, Fresh: true}
+	call := &httpc.Call{Address: t.Pick(), Method: http.MethodPost, Path: "/v1/trainers/" + t.Name + "/" + what, Body: data, FreshConn: true}
 	return t.client.Do(ctx, call)
 }
 
--- a/croftload/drive/drive.go
+++ b/croftload/drive/drive.go
@@ -179,5 +179,5 @@
 	if err != nil {
 		return nil, fault.Wrap("drive.post", Wrong, err, "unencodable body")
 	}
-	return client.Do(ctx, &httpc.Call{Address: to, Method: http.MethodPost, Path: path, Headers: heads, Body: data, Fresh: true})
+	return client.Do(ctx, &httpc.Call{Address: to, Method: http.MethodPost, Path: path, Headers: heads, Body: data, FreshConn: true})
 }
--- a/croftmoor/calls/calls.go
+++ b/croftmoor/calls/calls.go
@@ -149,7 +149,7 @@
 func (c *Caller) try(ctx context.Context, r Request, server *pool.Server, more bool) (Answer, sent, error) {
 	tryCtx, cancel := c.share(ctx, more && r.Repeatable)
 	defer cancel()
-	call := &httpc.Call{Address: server.Address(), Method: r.Method, Path: r.Path, Body: r.Body, Fresh: !r.Repeatable}
+	call := &httpc.Call{Address: server.Address(), Method: r.Method, Path: r.Path, Body: r.Body, FreshConn: !r.Repeatable}
 	call.Headers = append(call.Headers, r.Headers...)
 	call.Headers = append(call.Headers, httpc.Header{Name: idHeader, Value: string(r.ID)})
 	began := c.Clock.Mono()
--- a/croftmoor/calls/guard.go
+++ b/croftmoor/calls/guard.go
@@ -50,7 +50,7 @@
 	case c.Guard == nil:
 	case how == answered && !c.Guard.Quiet():
 		c.Guard.Answered(r.fingerprint())
-	case how == lost && ctx.Err() == nil && !server.Leaving() && c.client.Refuses(ctx, server.Address()):
+	case how == lost && ctx.Err() == nil && !server.Leaving() && c.client.ConnectionRefused(ctx, server.Address()):
 		c.Guard.Ended(r.fingerprint(), server.Name)
 		c.note(*r, trail.Ended, server.Name, "", "request "+string(r.fingerprint())+": nobody listens there any more")
 	}
--- a/croftmoor/engine/sse.go
+++ b/croftmoor/engine/sse.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return fault.Wrap("engine.Obey", NotRun, err, "unencodable order")
 	}
-	call := &httpc.Call{Address: address, Method: http.MethodPost, Path: "/orders", Body: body, Fresh: true}
+	call := &httpc.Call{Address: address, Method: http.MethodPost, Path: "/orders", Body: body, FreshConn: true}
 	answer, err := p.client.Do(ctx, call)
 	if err != nil {
 		return fault.Wrap("engine.Obey", Broken, err, "the order's answer was lost")
--- a/croftmoor/proxy/ended.go
+++ b/croftmoor/proxy/ended.go
@@ -55,7 +55,7 @@
 // and a call that ran out of time leave no such trace; one that said it would leave
 // ended for its own reasons.
 func (p *Proxy) noteEnd(ctx context.Context, r *Request, s *state, server *pool.Server, took clock.Millis) {
-	if ctx.Err() != nil || server.Leaving() || !p.Client.Refuses(ctx, server.Address()) {
+	if ctx.Err() != nil || server.Leaving() || !p.Client.ConnectionRefused(ctx, server.Address()) {
 		return
 	}
 	if p.Counts != nil {
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -245,7 +245,7 @@
 		defer server.OnRestart(cancel)()
 	}
 	call := &httpc.Call{
-		Address: server.Address(), Method: r.Method, Path: r.Target, Body: r.Body, Fresh: !repeatable,
+		Address: server.Address(), Method: r.Method, Path: r.Target, Body: r.Body, FreshConn: !repeatable,
 		Headers: p.Protocol.Headers(&r, server.Name, left),
 		Accept:  func(a *httpc.Answer) bool { return p.Protocol.Own(&r, a) },
 	}
--- a/croftmoor/proxy/stream.go
+++ b/croftmoor/proxy/stream.go
@@ -142,8 +142,8 @@
 	}
 	return &httpc.Call{
 		Address: server.Address(), Method: r.Method, Path: r.Target, Body: r.Body, Headers: headers,
-		Fresh:  r.Route.Repeat != paths.Repeatable && !r.Route.Resumable,
-		Accept: func(a *httpc.Answer) bool { return p.Protocol.Own(&r, a) },
+		FreshConn: r.Route.Repeat != paths.Repeatable && !r.Route.Resumable,
+		Accept:    func(a *httpc.Answer) bool { return p.Protocol.Own(&r, a) },
 	}
 }
 
@@ -165,7 +165,7 @@
 		line, err := stream.Body.ReadBytes('\n')
 		event.Write(line)
 		if errors.Is(err, io.EOF) && event.Len() == 0 {
-			stream.Whole()
+			stream.MarkComplete()
 			return nil
 		}
 		if err != nil {
--- a/kernel/httpc/httpc.go
+++ b/kernel/httpc/httpc.go
@@ -50,9 +50,9 @@
 	Path    string
 	Headers []Header
 	Body    []byte
-	// Fresh asks for a new connection. Work that may not be repeated needs
+	// FreshConn asks for a new connection. Work that may not be repeated needs
 	// it: on a reused connection a late close can't be told from a run.
-	Fresh bool
+	FreshConn bool
 	// Accept tells whether an answer belongs to this call; nil accepts all. The
 	// connection of an answer that does not belong is closed and the call lost.
 	Accept func(*Answer) bool
@@ -107,8 +107,8 @@
 	return c.dialed
 }
 
-// Warm tells whether a connection to an address rests that may still be used.
-func (c *Client) Warm(address ident.Address) bool {
+// HasIdle tells whether a connection to an address rests that may still be used.
+func (c *Client) HasIdle(address ident.Address) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	links := c.idle[address]
@@ -163,7 +163,7 @@
 const tcpUserTimeout = 18
 
 func (c *Client) take(ctx context.Context, call *Call) (l *link, reused bool, err error) {
-	if !call.Fresh {
+	if !call.FreshConn {
 		if l = c.rested(call.Address); l != nil {
 			return l, true, nil
 		}
@@ -252,7 +252,7 @@
 		return answer, err
 	}
 	fresh := *call
-	fresh.Fresh = true
+	fresh.FreshConn = true
 	again, failure := c.Do(ctx, &fresh)
 	return again, afterBroken(failure, err)
 }
@@ -272,11 +272,11 @@
 // on the users' deployments, reckoned from their latencies. Whoever asks holds up work that should go on elsewhere.
 const refuseTerm = 100 * clock.Millis(1)
 
-// Refuses tells whether nobody listens at an address any more: its server has ended.
+// ConnectionRefused tells whether nobody listens at an address any more: its server has ended.
 // Silence tells nothing. A connection that comes about is not kept: a call that breaks on
 // a kept one is sent once more, and a server that loses every second answer would cost each
 // call 1.26 tries, 1.2 are allowed.
-func (c *Client) Refuses(ctx context.Context, address ident.Address) bool {
+func (c *Client) ConnectionRefused(ctx context.Context, address ident.Address) bool {
 	ctx, cancel := context.WithTimeout(ctx, refuseTerm.Duration())
 	defer cancel()
 	l, err := c.dial(ctx, address)
@@ -294,11 +294,11 @@
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
 	}
-	c.GiveUp(address)
+	c.CloseIdle(address)
 }
 
-// GiveUp closes the idle connections to an address.
-func (c *Client) GiveUp(address ident.Address) {
+// CloseIdle closes the idle connections to an address.
+func (c *Client) CloseIdle(address ident.Address) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, l := range c.idle[address] {
@@ -325,7 +325,7 @@
 		_ = l.Close()
 		return nil, fault.New("httpc.Do", Lost, string(call.Address)+" sent the answer of another call")
 	}
-	if call.Fresh || !stop() {
+	if call.FreshConn || !stop() {
 		// The connection of a call that was sent once more is not kept either: a
 		// server that loses every second answer would cost each call twice.
 		_ = l.Close()
--- a/kernel/httpc/httpc_test.go
+++ b/kernel/httpc/httpc_test.go
@@ -148,7 +148,7 @@
 	})
 	t.Run("an answer of another call is lost", func(t *testing.T) {
 		client := &Client{}
-		call := &Call{Address: serveRaw(t, answer), Method: "GET", Path: "/", Fresh: true, Accept: func(a *Answer) bool { return a.Header("Id") == "z" }}
+		call := &Call{Address: serveRaw(t, answer), Method: "GET", Path: "/", FreshConn: true, Accept: func(a *Answer) bool { return a.Header("Id") == "z" }}
 		_, err := client.Do(t.Context(), call)
 		if kind := fault.KindOf[Kind](err); kind != Lost || eris.Is(err, io.EOF) {
 			t.Errorf("error %v, want kind Lost", err)
--- a/kernel/httpc/refuse_test.go
+++ b/kernel/httpc/refuse_test.go
@@ -18,14 +18,14 @@
 		t.Fatal(err)
 	}
 	client, address := &Client{}, ident.Address(listener.Addr().String())
-	if client.Refuses(t.Context(), address) {
+	if client.ConnectionRefused(t.Context(), address) {
 		t.Error("a server that listens counts as ended")
 	}
-	if client.Warm(address) {
+	if client.HasIdle(address) {
 		t.Error("the connection that was made to find out is kept, so that a call may break on it")
 	}
 	_ = listener.Close()
-	if !client.Refuses(t.Context(), address) {
+	if !client.ConnectionRefused(t.Context(), address) {
 		t.Error("a server that has ended does not count as ended")
 	}
 }
--- a/kernel/httpc/stream.go
+++ b/kernel/httpc/stream.go
@@ -47,7 +47,7 @@
 		return stream, err
 	}
 	fresh := *call
-	fresh.Fresh = true
+	fresh.FreshConn = true
 	again, failure := c.Open(ctx, &fresh)
 	return again, afterBroken(failure, err)
 }
@@ -126,15 +126,15 @@
 	return err == nil && line == trailerEnd
 }
 
-// Whole tells that the body was read to its proper end, so that its connection
+// MarkComplete tells that the body was read to its proper end, so that its connection
 // may be used again.
-func (s *Stream) Whole() {
+func (s *Stream) MarkComplete() {
 	s.whole = true
 }
 
 // Close ends the call.
 func (s *Stream) Close() {
-	if s.whole && !s.call.Fresh && s.reusable() && s.stop() {
+	if s.whole && !s.call.FreshConn && s.reusable() && s.stop() {
 		s.client.put(s.call.Address, s.link, rest(&s.head))
 		return
 	}
--- a/kernel/tail/http.go
+++ b/kernel/tail/http.go
@@ -48,7 +48,7 @@
 // Append adds data. Any end of the call other than the log's own word leaves
 // the outcome unknown, except a connection that was never made.
 func (l *httpLog) Append(ctx context.Context, stream ident.Stream, data []byte) (ident.Offset, error) {
-	call := &httpc.Call{Address: l.address, Method: http.MethodPost, Path: "/streams/" + string(stream), Body: data, Fresh: true}
+	call := &httpc.Call{Address: l.address, Method: http.MethodPost, Path: "/streams/" + string(stream), Body: data, FreshConn: true}
 	answer, err := l.client.Do(ctx, call)
 	if fault.KindOf[httpc.Kind](err) == httpc.NotSent {
 		return 0, fault.Wrap("tail.Append", Refused, err, "the log could not be reached")
