--- a/croftmoor/blobs/blobs.go
+++ b/croftmoor/blobs/blobs.go
@@ -51,7 +51,7 @@
 // Store keeps blobs. Set the exported fields before use. The cache is guarded
 // by mu.
 type Store struct {
-	Reader tail.Chunks
+	Reader tail.ChunkReader
 	Writer Writer
 	Clock  *clock.Clock
 	// Parts is how many streams a family has.
--- a/croftmoor/detour/detour.go
+++ b/croftmoor/detour/detour.go
@@ -23,8 +23,8 @@
 // Direct is the log as this instance reaches it itself.
 type Direct interface {
 	tail.Appender
-	tail.Chunks
-	tail.Keyed
+	tail.ChunkReader
+	tail.KeyedReader
 }
 
 const (
--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -85,7 +85,7 @@
 	hurry   chan struct{}
 	// read is when the log last answered, ended when an answer last reached the
 	// end of the stream: in between, the state is known to be in arrears. Both are of
-	// the answer and not of its receipt (tail.Told).
+	// the answer and not of its receipt (tail.CurrentAt).
 	read  clock.Millis
 	ended clock.Millis
 	// steady is since when the log has answered without a gap.
@@ -111,8 +111,8 @@
 // Run follows the ledger and tells that this instance is alive until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	tailer := &tail.Tailer{
-		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, Failed: l.failed,
-		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Hurry: l.hurry,
+		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, OnError: l.failed,
+		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Wake: l.hurry,
 	}
 	var group conc.WaitGroup
 	group.Go(func() { tailer.Run(ctx) })
@@ -150,8 +150,8 @@
 	}
 	l.book.Current = l.current && now-l.read <= freshTerm
 	told := now
-	if batch.Told > 0 {
-		told = min(now, batch.Told)
+	if batch.CurrentAt > 0 {
+		told = min(now, batch.CurrentAt)
 	}
 	l.began = true
 	l.read = told
--- a/croftmoor/ledger/ledger_test.go
+++ b/croftmoor/ledger/ledger_test.go
@@ -113,7 +113,7 @@
 	asked := l.Clock.Mono()
 	l.Clock.Advance(5700)
 	late := batch(2, 2)
-	late.Told = tail.Told(asked, l.Clock.Mono(), readWait)
+	late.CurrentAt = tail.CurrentAt(asked, l.Clock.Mono(), readWait)
 	l.apply(late)
 	if l.Fresh() {
 		t.Errorf("an answer that waited for 5.7 s made the state current; age %d ms", l.Age())
@@ -121,7 +121,7 @@
 	asked = l.Clock.Mono()
 	l.Clock.Advance(4)
 	next := batch(2, 2)
-	next.Told = tail.Told(asked, l.Clock.Mono(), readWait)
+	next.CurrentAt = tail.CurrentAt(asked, l.Clock.Mono(), readWait)
 	l.apply(next)
 	assertState(t, l, true, false)
 }
--- a/kernel/tail/tail.go
+++ b/kernel/tail/tail.go
@@ -42,20 +42,20 @@
 	First   ident.Offset
 	Next    ident.Offset
 	Records []Record
-	// Told is until when, by the reader's steady clock, the batch is known to have been
-	// all there was; 0 is until it was received. See Told.
-	Told clock.Millis
+	// CurrentAt is until when, by the reader's steady clock, the batch is known to have been
+	// all there was; 0 is until it was received. See CurrentAt.
+	CurrentAt clock.Millis
 }
 
 // answerTerm is how long the log's answer may be under way, beyond the time that the
 // call waits for a record: 4 ms by what the platform says, 50 times that when the log is slow.
 const answerTerm = 300 * clock.Millis(1)
 
-// Told returns until when an answer is known to hold that was asked for at a time and
+// CurrentAt returns until when an answer is known to hold that was asked for at a time and
 // received at another, the call waiting for a record so long at most. An answer that took
 // longer was held up, or its reader was: one that had stood still for 5.7 s took the
 // answer that lay in its socket for news, and denied a job that was accepted meanwhile.
-func Told(asked, received, wait clock.Millis) clock.Millis {
+func CurrentAt(asked, received, wait clock.Millis) clock.Millis {
 	return min(received, asked+wait+answerTerm)
 }
 
@@ -82,8 +82,8 @@
 	More bool
 }
 
-// Keyed reads streams that keep the newest record of each key.
-type Keyed interface {
+// KeyedReader reads streams that keep the newest record of each key.
+type KeyedReader interface {
 	// Newest returns the newest records of the keys behind a key, "" for the first
 	// ones. Pages are no snapshot: what changes meanwhile comes again from the first
 	// page's Next on. One call is one page, so that a caller can give each its own
@@ -91,8 +91,8 @@
 	Newest(ctx context.Context, stream ident.Stream, after string) (Page, error)
 }
 
-// Chunks reads parts of streams.
-type Chunks interface {
+// ChunkReader reads parts of streams.
+type ChunkReader interface {
 	// ReadSome returns records from offset on, about most bytes of them, waiting
 	// up to wait for the first one.
 	ReadSome(ctx context.Context, stream ident.Stream, from ident.Offset, most int, wait clock.Millis) (Batch, error)
@@ -135,8 +135,8 @@
 	// Apply is called with each batch in order, from one goroutine. A batch
 	// without records still tells First and Next.
 	Apply func(Batch)
-	// Failed is called when a read fails; it may be nil.
-	Failed func(error)
+	// OnError is called when a read fails; it may be nil.
+	OnError func(error)
 	// Wait is how long a read waits for a record, and Timeout bounds the whole
 	// read; zero values mean the defaults.
 	Wait    clock.Millis
@@ -144,8 +144,8 @@
 	// Pause returns the pause after a batch, so that records that come one by one
 	// do not cost a read each; nil is none.
 	Pause func() clock.Millis
-	// Hurry ends a pause early when something is received from it; it may be nil.
-	Hurry <-chan struct{}
+	// Wake ends a pause early when something is received from it; it may be nil.
+	Wake <-chan struct{}
 }
 
 // Run follows the stream until ctx ends. Failed reads are retried with a
@@ -161,8 +161,8 @@
 		batch, err := t.Log.Read(readCtx, t.Stream, next, wait)
 		cancel()
 		if err != nil {
-			if t.Failed != nil && ctx.Err() == nil {
-				t.Failed(err)
+			if t.OnError != nil && ctx.Err() == nil {
+				t.OnError(err)
 			}
 			if t.Clock.Mono()-began >= timeout {
 				timeout = min(2*timeout, timeoutGrowth*usual)
@@ -172,7 +172,7 @@
 			continue
 		}
 		pause, timeout = retryFirst, usual
-		batch.Told = Told(began, t.Clock.Mono(), wait)
+		batch.CurrentAt = CurrentAt(began, t.Clock.Mono(), wait)
 		t.Apply(batch)
 		next = after(batch, next)
 		if t.Pause != nil && next >= batch.Next {
@@ -190,7 +190,7 @@
 func (t *Tailer) pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-t.Hurry:
+	case <-t.Wake:
 	case <-t.Clock.After(t.Pause()):
 	}
 }
--- a/kernel/tail/tailer_test.go
+++ b/kernel/tail/tailer_test.go
@@ -55,7 +55,7 @@
 		manual := clock.NewManual(clock.Minute)
 		ctx, stop := context.WithCancel(t.Context())
 		tailer := &Tailer{Log: &frozenLog{clock: manual, span: c.span}, Clock: manual, Wait: 500, Apply: func(b Batch) {
-			if got := b.Told - clock.Minute; got != c.told {
+			if got := b.CurrentAt - clock.Minute; got != c.told {
 				t.Errorf("an answer after %d ms holds until %d ms, want %d", c.span, got, c.told)
 			}
 			stop()
--- a/kernel/tail/writer.go
+++ b/kernel/tail/writer.go
@@ -40,10 +40,10 @@
 	Producer string
 	// MaxBytes bounds one append.
 	MaxBytes int
-	// Failed is called when an append fails, before it is repeated; Worked when
+	// OnError is called when an append fails, before it is repeated; Worked when
 	// one is acknowledged. Both may be nil.
-	Failed func(error)
-	Worked func()
+	OnError   func(error)
+	OnSuccess func()
 
 	mu    sync.Mutex
 	lanes map[ident.Stream]*lane
@@ -295,13 +295,13 @@
 }
 
 func (w *Writer) failed(err error) {
-	if w.Failed != nil {
-		w.Failed(err)
+	if w.OnError != nil {
+		w.OnError(err)
 	}
 }
 
 func (w *Writer) worked() {
-	if w.Worked != nil {
-		w.Worked()
+	if w.OnSuccess != nil {
+		w.OnSuccess()
 	}
 }
