--- a/kernel/httpc/httpc.go
+++ b/kernel/httpc/httpc.go
@@ -80,13 +80,13 @@
 	DefaultDialTimeout = 2 * clock.Second
 	maxIdlePerAddress  = 64
 	maxAnswerBytes     = 64 << 20
-	// defaultRest is how long a connection is kept idle when the server does not
+	// defaultIdleTimeout is how long a connection is kept idle when the server does not
 	// say; restMargin is how much sooner than the server it is closed.
-	defaultRest = 4 * clock.Second
-	restMargin  = 500 * clock.Millis(1)
-	// unanswered is how long sent bytes may stay without an acknowledgement
+	defaultIdleTimeout = 4 * clock.Second
+	idleTimeoutMargin  = 500 * clock.Millis(1)
+	// unackedTimeout is how long sent bytes may stay without an acknowledgement
 	// before the connection counts as dead.
-	unanswered = 4 * clock.Second
+	unackedTimeout = 4 * clock.Second
 )
 
 // Client sends calls. Set the fields before use; the zero value works. Idle
@@ -96,7 +96,7 @@
 
 	mu     sync.Mutex
 	idle   map[ident.Address][]*link
-	steady *clock.Clock
+	clock  *clock.Clock
 	dialed int64
 }
 
@@ -112,23 +112,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	links := c.idle[address]
-	return len(links) > 0 && c.now() < links[len(links)-1].until
+	return len(links) > 0 && c.now() < links[len(links)-1].idleUntil
 }
 
 // now returns the steady time; mu is held.
 func (c *Client) now() clock.Millis {
-	if c.steady == nil {
-		c.steady = clock.New()
+	if c.clock == nil {
+		c.clock = clock.New()
 	}
-	return c.steady.Mono()
+	return c.clock.Mono()
 }
 
 // link is one connection with its read buffer. Until is the end of its rest by
 // the steady clock; 0 while it is in use.
 type link struct {
 	net.Conn
-	reader *bufio.Reader
-	until  clock.Millis
+	reader    *bufio.Reader
+	idleUntil clock.Millis
 }
 
 func (c *Client) dial(ctx context.Context, address ident.Address) (*link, error) {
@@ -149,22 +149,22 @@
 
 // setUserTimeout bounds how long a silent peer holds unacknowledged bytes.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unanswered))
+		sockErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
 // tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which package syscall lacks.
 const tcpUserTimeout = 18
 
-func (c *Client) take(ctx context.Context, call *Call) (l *link, reused bool, err error) {
+func (c *Client) acquire(ctx context.Context, call *Call) (l *link, reused bool, err error) {
 	if !call.FreshConn {
-		if l = c.rested(call.Address); l != nil {
+		if l = c.takeIdle(call.Address); l != nil {
 			return l, true, nil
 		}
 	}
@@ -172,8 +172,8 @@
 	return l, false, err
 }
 
-// rested returns the idle connection that was used last, if one is still good.
-func (c *Client) rested(address ident.Address) *link {
+// takeIdle returns the idle connection that was used last, if one is still good.
+func (c *Client) takeIdle(address ident.Address) *link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
@@ -185,35 +185,35 @@
 		}
 		l := links[n-1]
 		c.idle[address] = links[:n-1]
-		if c.now() < l.until && gone.Quiet(l.Conn) {
-			l.until = 0
+		if c.now() < l.idleUntil && gone.Quiet(l.Conn) {
+			l.idleUntil = 0
 			return l
 		}
 		_ = l.Close()
 	}
 }
 
-// put keeps a connection for reuse; rest is how long the server keeps it.
-func (c *Client) put(address ident.Address, l *link, rest clock.Millis) {
+// putIdle keeps a connection for reuse; rest is how long the server keeps it.
+func (c *Client) putIdle(address ident.Address, l *link, idleFor clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle == nil {
 		c.idle = map[ident.Address][]*link{}
 	}
-	c.sweep(address)
-	if l.reader.Buffered() > 0 || rest <= 0 || len(c.idle[address]) >= maxIdlePerAddress {
+	c.closeExpired(address)
+	if l.reader.Buffered() > 0 || idleFor <= 0 || len(c.idle[address]) >= maxIdlePerAddress {
 		_ = l.Close()
 		return
 	}
-	l.until = c.now() + rest
+	l.idleUntil = c.now() + idleFor
 	c.idle[address] = append(c.idle[address], l)
 }
 
-// sweep closes the connections of an address whose rest is over; mu is held.
-func (c *Client) sweep(address ident.Address) {
+// closeExpired closes the connections of an address whose rest is over; mu is held.
+func (c *Client) closeExpired(address ident.Address) {
 	now := c.now()
 	c.idle[address] = slices.DeleteFunc(c.idle[address], func(l *link) bool {
-		if now < l.until {
+		if now < l.idleUntil {
 			return false
 		}
 		_ = l.Close()
@@ -221,25 +221,25 @@
 	})
 }
 
-// rest returns how long a connection may be kept idle after an answer.
-func rest(head *fasthttp.ResponseHeader) clock.Millis {
+// idleTimeout returns how long a connection may be kept idle after an answer.
+func idleTimeout(head *fasthttp.ResponseHeader) clock.Millis {
 	if head.ConnectionClose() {
 		return 0
 	}
 	for part := range strings.SplitSeq(string(head.Peek("Keep-Alive")), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if seconds, err := strconv.Atoi(value); ok && err == nil {
-			return clock.Millis(seconds)*clock.Second - restMargin
+			return clock.Millis(seconds)*clock.Second - idleTimeoutMargin
 		}
 	}
-	return defaultRest
+	return defaultIdleTimeout
 }
 
 // Do sends call and reads the whole answer. ctx bounds it all. A call on a
 // reused connection that died before any answer byte is sent once more on a
 // fresh one; calls that may not be repeated set Fresh and never take this way.
 func (c *Client) Do(ctx context.Context, call *Call) (*Answer, error) {
-	l, reused, err := c.take(ctx, call)
+	l, reused, err := c.acquire(ctx, call)
 	if err != nil {
 		return nil, err
 	}
@@ -248,36 +248,36 @@
 		return answer, err
 	}
 	if ctx.Err() != nil {
-		c.distrust(ctx, call.Address)
+		c.closeIdleOnTimeout(ctx, call.Address)
 		return answer, err
 	}
-	fresh := *call
-	fresh.FreshConn = true
-	again, failure := c.Do(ctx, &fresh)
-	return again, afterBroken(failure, err)
+	retry := *call
+	retry.FreshConn = true
+	retried, retryErr := c.Do(ctx, &retry)
+	return retried, wrapRetryError(retryErr, err)
 }
 
-// afterBroken returns the error of a call that was sent once more after its first
+// wrapRetryError returns the error of a call that was sent once more after its first
 // connection broke. It is lost whatever became of the second: a server that ended while
 // it ran the call leaves a closed port, and a call that only met the closed port would
 // pass for one that was never sent.
-func afterBroken(failure, first error) error {
-	if failure == nil {
+func wrapRetryError(retryErr, firstErr error) error {
+	if retryErr == nil {
 		return nil
 	}
-	return fault.Wrap("httpc.again", Lost, failure, "after a reused connection broke ("+first.Error()+")")
+	return fault.Wrap("httpc.again", Lost, retryErr, "after a reused connection broke ("+firstErr.Error()+")")
 }
 
-// refuseTerm bounds the wait for a refusal, which comes within a round trip: some 6 ms
+// probeTimeout bounds the wait for a refusal, which comes within a round trip: some 6 ms
 // on the users' deployments, reckoned from their latencies. Whoever asks holds up work that should go on elsewhere.
-const refuseTerm = 100 * clock.Millis(1)
+const probeTimeout = 100 * clock.Millis(1)
 
 // ConnectionRefused tells whether nobody listens at an address any more: its server has ended.
 // Silence tells nothing. A connection that comes about is not kept: a call that breaks on
 // a kept one is sent once more, and a server that loses every second answer would cost each
 // call 1.26 tries, 1.2 are allowed.
 func (c *Client) ConnectionRefused(ctx context.Context, address ident.Address) bool {
-	ctx, cancel := context.WithTimeout(ctx, refuseTerm.Duration())
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	l, err := c.dial(ctx, address)
 	if err != nil {
@@ -287,10 +287,10 @@
 	return false
 }
 
-// distrust closes the idle connections to an address if the call on one of them
+// closeIdleOnTimeout closes the idle connections to an address if the call on one of them
 // ran out of time: open connections may go silent all at once, without a reset,
 // while new ones work.
-func (c *Client) distrust(ctx context.Context, address ident.Address) {
+func (c *Client) closeIdleOnTimeout(ctx context.Context, address ident.Address) {
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
 	}
@@ -318,7 +318,7 @@
 	}
 	if err := response.ReadLimitBody(l.reader, maxAnswerBytes); err != nil {
 		_ = l.Close()
-		return nil, lost(call, err)
+		return nil, lostError(call, err)
 	}
 	answer := &Answer{Status: response.StatusCode(), Headers: headers(&response.Header), Body: append([]byte(nil), response.Body()...)}
 	if call.Accept != nil && !call.Accept(answer) {
@@ -330,7 +330,7 @@
 		// server that loses every second answer would cost each call twice.
 		_ = l.Close()
 	} else {
-		c.put(call.Address, l, rest(&response.Header))
+		c.putIdle(call.Address, l, idleTimeout(&response.Header))
 	}
 	return answer, nil
 }
@@ -353,12 +353,12 @@
 		err = writer.Flush()
 	}
 	if err != nil {
-		return lost(call, err)
+		return lostError(call, err)
 	}
 	return nil
 }
 
-func lost(call *Call, err error) error {
+func lostError(call *Call, err error) error {
 	return fault.Wrap("httpc.Do", Lost, err, "no whole answer from "+string(call.Address)+" to "+call.Method+" "+call.Path)
 }
 
--- a/kernel/httpc/silent_test.go
+++ b/kernel/httpc/silent_test.go
@@ -15,21 +15,21 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// silenced is a way to a server on which open connections can be silenced for
+// silencingProxy is a way to a server on which open connections can be silencingProxy for
 // good, without a reset, while new ones work.
-type silenced struct {
+type silencingProxy struct {
 	listener net.Listener
-	// cut counts how often the open connections were silenced.
-	cut atomic.Int64
+	// silenced counts how often the open connections were silenced.
+	silenced atomic.Int64
 }
 
-func newSilenced(t *testing.T, server string) *silenced {
+func newSilencingProxy(t *testing.T, server string) *silencingProxy {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &silenced{listener: listener}
+	s := &silencingProxy{listener: listener}
 	var group conc.WaitGroup
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
@@ -39,36 +39,36 @@
 	})
 	group.Go(func() {
 		for {
-			near, err := listener.Accept()
+			clientConn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			far, err := (&net.Dialer{}).DialContext(ctx, "tcp", server)
+			serverConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", server)
 			if err != nil {
-				_ = near.Close()
+				_ = clientConn.Close()
 				continue
 			}
-			began := s.cut.Load()
+			openedAt := s.silenced.Load()
 			context.AfterFunc(ctx, func() {
-				_ = near.Close()
-				_ = far.Close()
+				_ = clientConn.Close()
+				_ = serverConn.Close()
 			})
-			group.Go(func() { s.copy(far, near, began) })
-			group.Go(func() { s.copy(near, far, began) })
+			group.Go(func() { s.copy(serverConn, clientConn, openedAt) })
+			group.Go(func() { s.copy(clientConn, serverConn, openedAt) })
 		}
 	})
 	return s
 }
 
 // copy passes bytes on until the connections that were open then are silenced.
-func (s *silenced) copy(to io.Writer, from io.Reader, began int64) {
+func (s *silencingProxy) copy(to io.Writer, from io.Reader, openedAt int64) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		if s.cut.Load() != began {
+		if s.silenced.Load() != openedAt {
 			continue
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -80,7 +80,7 @@
 // A call that runs out of time on a connection that went silent must not leave
 // the next ones to the other connections of the same age.
 func TestSilentConnections(t *testing.T) {
-	const held = 4
+	const connections = 4
 	gate := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/together" {
@@ -106,22 +106,22 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			way := newSilenced(t, server.Listener.Addr().String())
-			address := ident.Address(way.listener.Addr().String())
+			proxy := newSilencingProxy(t, server.Listener.Addr().String())
+			address := ident.Address(proxy.listener.Addr().String())
 			client := &Client{}
 			var calls conc.WaitGroup
-			for range held {
+			for range connections {
 				calls.Go(func() {
 					_, _ = client.Do(t.Context(), &Call{Address: address, Method: "GET", Path: "/together"})
 				})
 			}
-			for range held {
+			for range connections {
 				gate <- struct{}{}
 			}
 			calls.Wait()
-			way.cut.Add(1)
+			proxy.silenced.Add(1)
 			failed := 0
-			for range held {
+			for range connections {
 				ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 				if c.call(ctx, client, address) != nil {
 					failed++
@@ -129,7 +129,7 @@
 				cancel()
 			}
 			if failed != 1 {
-				t.Errorf("%d of %d calls failed after the connections went silent, want 1", failed, held)
+				t.Errorf("%d of %d calls failed after the connections went silent, want 1", failed, connections)
 			}
 		})
 	}
--- a/kernel/httpc/stream.go
+++ b/kernel/httpc/stream.go
@@ -18,12 +18,12 @@
 	Headers []Header
 	Body    *bufio.Reader
 
-	client *Client
-	call   *Call
-	link   *link
-	stop   func() bool
-	head   fasthttp.ResponseHeader
-	whole  bool
+	client   *Client
+	call     *Call
+	link     *link
+	stop     func() bool
+	head     fasthttp.ResponseHeader
+	complete bool
 }
 
 // Header returns the named header's value, or "".
@@ -34,7 +34,7 @@
 // Open sends call and returns once the answer's header is there. Like Do, it
 // sends once more on a fresh connection if a reused one was dead.
 func (c *Client) Open(ctx context.Context, call *Call) (*Stream, error) {
-	l, reused, err := c.take(ctx, call)
+	l, reused, err := c.acquire(ctx, call)
 	if err != nil {
 		return nil, err
 	}
@@ -43,13 +43,13 @@
 		return stream, err
 	}
 	if ctx.Err() != nil {
-		c.distrust(ctx, call.Address)
+		c.closeIdleOnTimeout(ctx, call.Address)
 		return stream, err
 	}
-	fresh := *call
-	fresh.FreshConn = true
-	again, failure := c.Open(ctx, &fresh)
-	return again, afterBroken(failure, err)
+	retry := *call
+	retry.FreshConn = true
+	retried, retryErr := c.Open(ctx, &retry)
+	return retried, wrapRetryError(retryErr, err)
 }
 
 func (c *Client) open(ctx context.Context, call *Call, l *link) (*Stream, error) {
@@ -61,7 +61,7 @@
 	}
 	if err := stream.head.Read(l.reader); err != nil {
 		stream.Close()
-		return nil, lost(call, err)
+		return nil, lostError(call, err)
 	}
 	stream.Status = stream.head.StatusCode()
 	stream.Headers = headers(&stream.head)
@@ -85,7 +85,7 @@
 	case length == untilClose:
 		return s.link.reader
 	case length >= 0:
-		return &exactReader{reader: s.link.reader, left: length}
+		return &exactReader{reader: s.link.reader, remaining: length}
 	default:
 		return httputil.NewChunkedReader(s.link.reader)
 	}
@@ -93,18 +93,18 @@
 
 // exactReader reads a body of a known length.
 type exactReader struct {
-	reader io.Reader
-	left   int
+	reader    io.Reader
+	remaining int
 }
 
 // Read returns io.ErrUnexpectedEOF if the connection ends before the body does.
 func (r *exactReader) Read(p []byte) (int, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := r.reader.Read(p[:min(len(p), r.left)])
-	r.left -= n
-	if err == io.EOF && r.left > 0 {
+	n, err := r.reader.Read(p[:min(len(p), r.remaining)])
+	r.remaining -= n
+	if err == io.EOF && r.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
@@ -129,13 +129,13 @@
 // MarkComplete tells that the body was read to its proper end, so that its connection
 // may be used again.
 func (s *Stream) MarkComplete() {
-	s.whole = true
+	s.complete = true
 }
 
 // Close ends the call.
 func (s *Stream) Close() {
-	if s.whole && !s.call.FreshConn && s.reusable() && s.stop() {
-		s.client.put(s.call.Address, s.link, rest(&s.head))
+	if s.complete && !s.call.FreshConn && s.reusable() && s.stop() {
+		s.client.putIdle(s.call.Address, s.link, idleTimeout(&s.head))
 		return
 	}
 	s.stop()
