--- a/kernel/httpc/httpc.go
+++ b/kernel/httpc/httpc.go
@@ -1,7 +1,7 @@
-// Package httpc is the HTTP/1.1 client towards backend servers and the
-// platform. It is built on fasthttp's messages over connections of its own,
-// because croftmoor must know whether any byte of a request can have left:
-// only then may a caller be told "not run".
+// Package httpc is the HTTP/1.1 client for backend servers and the platform. It uses
+// fasthttp's messages over its own connections, because croftmoor must know whether any byte
+// of a request may have left the process: only if none has may the caller be told that the
+// request did not run.
 package httpc
 
 import (
@@ -30,7 +30,7 @@
 const (
 	// NotSent means that no byte of the request left this process.
 	NotSent Kind = "NotSent"
-	// Lost means that bytes left and no whole answer came back.
+	// Lost means that the request may have been sent, but no usable response was received.
 	Lost Kind = "Lost"
 )
 
@@ -50,15 +50,17 @@
 	Path    string
 	Headers []Header
 	Body    []byte
-	// FreshConn asks for a new connection. Work that may not be repeated needs
-	// it: on a reused connection a late close can't be told from a run.
+	// FreshConn demands a new connection, which is closed after the response. Requests that
+	// must not be sent twice need it: if a reused connection closes, the client cannot know
+	// whether the server ran the request.
 	FreshConn bool
-	// Accept tells whether an answer belongs to this call; nil accepts all. The
-	// connection of an answer that does not belong is closed and the call lost.
+	// Accept reports whether a response belongs to this call; nil accepts every response. If
+	// it returns false, the connection is closed and the call fails with Lost. Open calls it
+	// before the body is read, with an empty Body.
 	Accept func(*Answer) bool
 }
 
-// Answer is a whole answer.
+// Answer is a complete response.
 type Answer struct {
 	Status  int
 	Headers []Header
@@ -76,21 +78,22 @@
 }
 
 const (
-	// DefaultDialTimeout bounds a dial when ctx allows longer.
+	// DefaultDialTimeout bounds a dial; an earlier deadline of the context still applies.
 	DefaultDialTimeout = 2 * clock.Second
 	maxIdlePerAddress  = 64
 	maxAnswerBytes     = 64 << 20
-	// defaultIdleTimeout is how long a connection is kept idle when the server does not
-	// say; restMargin is how much sooner than the server it is closed.
+	// defaultIdleTimeout is how long a connection is kept idle if the server announces no
+	// Keep-Alive timeout. idleTimeoutMargin is subtracted from an announced timeout, so that
+	// the client closes the connection before the server does.
 	defaultIdleTimeout = 4 * clock.Second
 	idleTimeoutMargin  = 500 * clock.Millis(1)
-	// unackedTimeout is how long sent bytes may stay without an acknowledgement
-	// before the connection counts as dead.
+	// unackedTimeout is how long sent data may stay unacknowledged before the kernel closes
+	// the connection.
 	unackedTimeout = 4 * clock.Second
 )
 
-// Client sends calls. Set the fields before use; the zero value works. Idle
-// connections are guarded by mu.
+// Client sends calls and keeps idle connections for reuse. The zero value is ready to use; set
+// DialTimeout before the first call. mu guards the unexported fields.
 type Client struct {
 	DialTimeout clock.Millis
 
@@ -100,14 +103,14 @@
 	dialed int64
 }
 
-// Dialed returns how many connections were opened.
+// Dialed returns the number of connections opened so far.
 func (c *Client) Dialed() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dialed
 }
 
-// HasIdle tells whether a connection to an address rests that may still be used.
+// HasIdle reports whether an idle connection to address is kept that has not expired.
 func (c *Client) HasIdle(address ident.Address) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +118,7 @@
 	return len(links) > 0 && c.now() < links[len(links)-1].idleUntil
 }
 
-// now returns the steady time; mu is held.
+// now returns monotonic time. The caller holds mu.
 func (c *Client) now() clock.Millis {
 	if c.clock == nil {
 		c.clock = clock.New()
@@ -123,8 +126,8 @@
 	return c.clock.Mono()
 }
 
-// link is one connection with its read buffer. Until is the end of its rest by
-// the steady clock; 0 while it is in use.
+// link is one connection with its read buffer. idleUntil is the monotonic time at which an
+// idle connection expires; it is 0 while the connection is in use.
 type link struct {
 	net.Conn
 	reader    *bufio.Reader
@@ -147,7 +150,8 @@
 	return &link{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// setUserTimeout bounds how long a silent peer holds unacknowledged bytes.
+// setUserTimeout sets TCP_USER_TIMEOUT, in milliseconds, so that the kernel closes a
+// connection whose peer stops acknowledging data.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var sockErr error
 	err := raw.Control(func(fd uintptr) {
@@ -172,7 +176,8 @@
 	return l, false, err
 }
 
-// takeIdle returns the idle connection that was used last, if one is still good.
+// takeIdle returns the most recently used idle connection that has not expired and is still
+// open, or nil. It closes the unusable ones that it meets.
 func (c *Client) takeIdle(address ident.Address) *link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,7 +198,9 @@
 	}
 }
 
-// putIdle keeps a connection for reuse; rest is how long the server keeps it.
+// putIdle keeps a connection idle for idleFor at most. It closes the connection instead if
+// unread bytes remain, which the next call would read as its response, or if the address
+// already has maxIdlePerAddress idle connections.
 func (c *Client) putIdle(address ident.Address, l *link, idleFor clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,7 +216,7 @@
 	c.idle[address] = append(c.idle[address], l)
 }
 
-// closeExpired closes the connections of an address whose rest is over; mu is held.
+// closeExpired closes the expired idle connections of an address. The caller holds mu.
 func (c *Client) closeExpired(address ident.Address) {
 	now := c.now()
 	c.idle[address] = slices.DeleteFunc(c.idle[address], func(l *link) bool {
@@ -221,7 +228,8 @@
 	})
 }
 
-// idleTimeout returns how long a connection may be kept idle after an answer.
+// idleTimeout returns how long a connection may stay idle after a response with this header.
+// If it is not positive, the connection must be closed.
 func idleTimeout(head *fasthttp.ResponseHeader) clock.Millis {
 	if head.ConnectionClose() {
 		return 0
@@ -235,9 +243,9 @@
 	return defaultIdleTimeout
 }
 
-// Do sends call and reads the whole answer. ctx bounds it all. A call on a
-// reused connection that died before any answer byte is sent once more on a
-// fresh one; calls that may not be repeated set Fresh and never take this way.
+// Do sends a call and reads the complete response. ctx bounds the whole exchange. If the
+// exchange fails on a reused connection before ctx ends, Do sends the call once more on a new
+// connection; calls that must not be sent twice set FreshConn.
 func (c *Client) Do(ctx context.Context, call *Call) (*Answer, error) {
 	l, reused, err := c.acquire(ctx, call)
 	if err != nil {
@@ -257,25 +265,24 @@
 	return retried, wrapRetryError(retryErr, err)
 }
 
-// wrapRetryError returns the error of a call that was sent once more after its first
-// connection broke. It is lost whatever became of the second: a server that ended while
-// it ran the call leaves a closed port, and a call that only met the closed port would
-// pass for one that was never sent.
+// wrapRetryError returns the error of a call that was sent a second time after its reused
+// connection broke. The kind is always Lost: the server may have run the call the first time.
+// A refused second connection does not rule that out, because a server that ended while it ran
+// the call refuses connections too.
 func wrapRetryError(retryErr, firstErr error) error {
 	if retryErr == nil {
 		return nil
 	}
-	return fault.Wrap("httpc.again", Lost, retryErr, "after a reused connection broke ("+firstErr.Error()+")")
+	return fault.Wrap("httpc.retry", Lost, retryErr, "retry failed after a reused connection broke ("+firstErr.Error()+")")
 }
 
-// probeTimeout bounds the wait for a refusal, which comes within a round trip: some 6 ms
-// on the users' deployments, reckoned from their latencies. Whoever asks holds up work that should go on elsewhere.
+// probeTimeout bounds the dial of ConnectionRefused, during which the caller's retry waits.
 const probeTimeout = 100 * clock.Millis(1)
 
-// ConnectionRefused tells whether nobody listens at an address any more: its server has ended.
-// Silence tells nothing. A connection that comes about is not kept: a call that breaks on
-// a kept one is sent once more, and a server that loses every second answer would cost each
-// call 1.26 tries, 1.2 are allowed.
+// ConnectionRefused reports whether address refuses connections, which means that its server
+// has ended. It returns false if the dial times out or fails otherwise. It does not keep the
+// probe connection: a call that breaks on a reused connection is sent twice, so keeping it
+// would add retries.
 func (c *Client) ConnectionRefused(ctx context.Context, address ident.Address) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
@@ -287,9 +294,9 @@
 	return false
 }
 
-// closeIdleOnTimeout closes the idle connections to an address if the call on one of them
-// ran out of time: open connections may go silent all at once, without a reset,
-// while new ones work.
+// closeIdleOnTimeout closes the idle connections to address if ctx passed its deadline. When a
+// network drops one open connection without a reset, it often drops the others as well, while
+// new connections work.
 func (c *Client) closeIdleOnTimeout(ctx context.Context, address ident.Address) {
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
@@ -297,7 +304,7 @@
 	c.CloseIdle(address)
 }
 
-// CloseIdle closes the idle connections to an address.
+// CloseIdle closes the idle connections to address.
 func (c *Client) CloseIdle(address ident.Address) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -323,11 +330,11 @@
 	answer := &Answer{Status: response.StatusCode(), Headers: headers(&response.Header), Body: append([]byte(nil), response.Body()...)}
 	if call.Accept != nil && !call.Accept(answer) {
 		_ = l.Close()
-		return nil, fault.New("httpc.Do", Lost, string(call.Address)+" sent the answer of another call")
+		return nil, fault.New("httpc.Do", Lost, string(call.Address)+" sent a response that belongs to another call")
 	}
 	if call.FreshConn || !stop() {
-		// The connection of a call that was sent once more is not kept either: a
-		// server that loses every second answer would cost each call twice.
+		// The connection of a retried call is not kept either: with a server that drops every
+		// second response, each call would be sent twice.
 		_ = l.Close()
 	} else {
 		c.putIdle(call.Address, l, idleTimeout(&response.Header))
@@ -339,7 +346,7 @@
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	request.Header.SetMethod(call.Method)
-	// The target goes out as it is: parsing it would normalise the path.
+	// The request target is sent unchanged: parsing would normalise the path.
 	request.Header.SetRequestURI(call.Path)
 	request.Header.SetHost(string(call.Address))
 	request.Header.SetNoDefaultContentType(true)
@@ -359,7 +366,7 @@
 }
 
 func lostError(call *Call, err error) error {
-	return fault.Wrap("httpc.Do", Lost, err, "no whole answer from "+string(call.Address)+" to "+call.Method+" "+call.Path)
+	return fault.Wrap("httpc.Do", Lost, err, "no complete response from "+string(call.Address)+" to "+call.Method+" "+call.Path)
 }
 
 func headers(head *fasthttp.ResponseHeader) []Header {
@@ -370,7 +377,8 @@
 	return list
 }
 
-// StatusError says that a server answered with an unexpected status.
+// StatusError returns a Lost error for a response with an unexpected status. Its text contains
+// the status and the body.
 func StatusError(call *Call, answer *Answer) error {
 	return fault.New("httpc.Do", Lost, string(call.Address)+" answered "+strconv.Itoa(answer.Status)+" to "+call.Path+": "+string(answer.Body))
 }
--- a/kernel/httpc/httpc_test.go
+++ b/kernel/httpc/httpc_test.go
@@ -16,15 +16,15 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// serveRaw answers each connection's requests with the given texts in turn and
-// then closes it. Requests have no body.
+// serveRaw answers the requests of each connection with the given raw responses, one each, and
+// then closes the connection. Requests must have no body.
 func serveRaw(t *testing.T, answers ...string) ident.Address {
 	t.Helper()
 	address, _ := serveCounted(t, answers...)
 	return address
 }
 
-// serveCounted is serveRaw that also counts the requests that were read.
+// serveCounted is serveRaw that also counts the requests that it has read.
 func serveCounted(t *testing.T, answers ...string) (ident.Address, *atomic.Int64) {
 	t.Helper()
 	served := &atomic.Int64{}
@@ -142,7 +142,7 @@
 				t.Fatal(err)
 			}
 			if got.Header("Id") != "a" {
-				t.Error("the second answer of the first call was taken for the second call's")
+				t.Error("the surplus response of the first call was returned for the second call")
 			}
 		}
 	})
--- a/kernel/httpc/refuse_test.go
+++ b/kernel/httpc/refuse_test.go
@@ -19,20 +19,19 @@
 	}
 	client, address := &Client{}, ident.Address(listener.Addr().String())
 	if client.ConnectionRefused(t.Context(), address) {
-		t.Error("a server that listens counts as ended")
+		t.Error("a listening server is reported as refusing connections")
 	}
 	if client.HasIdle(address) {
-		t.Error("the connection that was made to find out is kept, so that a call may break on it")
+		t.Error("the probe connection is kept idle")
 	}
 	_ = listener.Close()
 	if !client.ConnectionRefused(t.Context(), address) {
-		t.Error("a server that has ended does not count as ended")
+		t.Error("a closed port is not reported as refusing connections")
 	}
 }
 
-// A server that ends while it runs a call on a reused connection may have run it: that its
-// port is closed afterwards is no proof that the call was never sent. Callers were told "not
-// run" of requests that had ended a server, and the end went unnoticed.
+// Guards against reporting a call as not sent if the server ends while it runs the call on a
+// reused connection: the retry meets a closed port.
 func TestServerEndsUnderACall(t *testing.T) {
 	for name, do := range map[string]func(*Client, *Call) error{
 		"whole answer": func(c *Client, call *Call) error { _, err := c.Do(t.Context(), call); return err },
@@ -60,7 +59,7 @@
 				t.Fatal(err)
 			}
 			if err := do(client, call); fault.KindOf[Kind](err) != Lost {
-				t.Errorf("the call ended with %v, want that it is lost", err)
+				t.Errorf("the call ended with %v, want kind Lost", err)
 			}
 		})
 	}
--- a/kernel/httpc/silent_test.go
+++ b/kernel/httpc/silent_test.go
@@ -15,7 +15,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// silencingProxy is a way to a server on which open connections can be silencingProxy for
+// silencingProxy forwards connections to a server. It can silence all open connections for
 // good, without a reset, while new ones work.
 type silencingProxy struct {
 	listener net.Listener
@@ -60,7 +60,8 @@
 	return s
 }
 
-// copy passes bytes on until the connections that were open then are silenced.
+// copy forwards bytes from a connection that was opened when silenced had the value
+// generation. It discards them once the connection is silenced.
 func (s *silencingProxy) copy(to io.Writer, from io.Reader, openedAt int64) {
 	buffer := make([]byte, 4096)
 	for {
@@ -77,8 +78,8 @@
 	}
 }
 
-// A call that runs out of time on a connection that went silent must not leave
-// the next ones to the other connections of the same age.
+// Guards against calls that time out one after another because all idle connections went
+// silent at once.
 func TestSilentConnections(t *testing.T) {
 	const connections = 4
 	gate := make(chan struct{})
--- a/kernel/httpc/stream.go
+++ b/kernel/httpc/stream.go
@@ -11,8 +11,7 @@
 	"croftmoor.dev/kernel/fault"
 )
 
-// Stream is an answer whose body is read as it comes. Close ends the call;
-// the backend server sees its connection close unless the answer was whole.
+// Stream is a response whose body is read as it arrives. Close must be called.
 type Stream struct {
 	Status  int
 	Headers []Header
@@ -31,8 +30,9 @@
 	return (&Answer{Headers: s.Headers}).Header(name)
 }
 
-// Open sends call and returns once the answer's header is there. Like Do, it
-// sends once more on a fresh connection if a reused one was dead.
+// Open sends a call and returns once the response header has arrived. ctx bounds the stream
+// until Close. Like Do, Open sends the call once more on a new connection if a reused one
+// fails.
 func (c *Client) Open(ctx context.Context, call *Call) (*Stream, error) {
 	l, reused, err := c.acquire(ctx, call)
 	if err != nil {
@@ -67,18 +67,17 @@
 	stream.Headers = headers(&stream.head)
 	if call.Accept != nil && !call.Accept(&Answer{Status: stream.Status, Headers: stream.Headers}) {
 		stream.Close()
-		return nil, fault.New("httpc.Open", Lost, string(call.Address)+" sent the answer of another call")
+		return nil, fault.New("httpc.Open", Lost, string(call.Address)+" sent a response that belongs to another call")
 	}
 	stream.Body = bufio.NewReader(stream.body())
 	return stream, nil
 }
 
-// untilClose is fasthttp's length of a body that ends with its connection.
+// untilClose is fasthttp's content length of a body that ends when its connection closes.
 const untilClose = -2
 
-// body returns a reader of the body whose end is io.EOF only if the body is
-// whole: fasthttp's own takes a connection that closes between two chunks for
-// the end of the body.
+// body returns a reader that reaches io.EOF only if the body is complete or has no length.
+// fasthttp's own reader also returns io.EOF if the connection closes between two chunks.
 func (s *Stream) body() io.Reader {
 	length := s.head.ContentLength()
 	switch {
@@ -110,11 +109,11 @@
 	return n, err
 }
 
-// trailerEnd ends a chunked body; the reader of chunks leaves it.
+// trailerEnd ends a chunked body. The reader of httputil does not consume it.
 const trailerEnd = "\r\n"
 
-// reusable tells whether the connection stands at the beginning of the next
-// answer.
+// reusable reports whether the connection's next byte begins the next response, provided that
+// the body was read to its end. It consumes the end of a chunked body.
 func (s *Stream) reusable() bool {
 	switch length := s.head.ContentLength(); {
 	case length == untilClose:
@@ -126,13 +125,14 @@
 	return err == nil && line == trailerEnd
 }
 
-// MarkComplete tells that the body was read to its proper end, so that its connection
-// may be used again.
+// MarkComplete records that the body was read to its end, so that Close may keep the
+// connection for reuse.
 func (s *Stream) MarkComplete() {
 	s.complete = true
 }
 
-// Close ends the call.
+// Close ends the call. It keeps the connection for reuse if the body was read to its end, and
+// closes it otherwise.
 func (s *Stream) Close() {
 	if s.complete && !s.call.FreshConn && s.reusable() && s.stop() {
 		s.client.putIdle(s.call.Address, s.link, idleTimeout(&s.head))
