--- a/kernel/tail/tail.go
+++ b/kernel/tail/tail.go
@@ -47,16 +47,16 @@
 	CurrentAt clock.Millis
 }
 
-// answerTerm is how long the log's answer may be under way, beyond the time that the
+// maxResponseDelay is how long the log's answer may be under way, beyond the time that the
 // call waits for a record: 4 ms by what the platform says, 50 times that when the log is slow.
-const answerTerm = 300 * clock.Millis(1)
+const maxResponseDelay = 300 * clock.Millis(1)
 
 // CurrentAt returns until when an answer is known to hold that was asked for at a time and
 // received at another, the call waiting for a record so long at most. An answer that took
 // longer was held up, or its reader was: one that had stood still for 5.7 s took the
 // answer that lay in its socket for news, and denied a job that was accepted meanwhile.
-func CurrentAt(asked, received, wait clock.Millis) clock.Millis {
-	return min(received, asked+wait+answerTerm)
+func CurrentAt(sentAt, receivedAt, wait clock.Millis) clock.Millis {
+	return min(receivedAt, sentAt+wait+maxResponseDelay)
 }
 
 // Reader reads streams in order.
@@ -88,14 +88,14 @@
 	// ones. Pages are no snapshot: what changes meanwhile comes again from the first
 	// page's Next on. One call is one page, so that a caller can give each its own
 	// time and keep those that came.
-	Newest(ctx context.Context, stream ident.Stream, after string) (Page, error)
+	Newest(ctx context.Context, stream ident.Stream, afterKey string) (Page, error)
 }
 
 // ChunkReader reads parts of streams.
 type ChunkReader interface {
 	// ReadSome returns records from offset on, about most bytes of them, waiting
 	// up to wait for the first one.
-	ReadSome(ctx context.Context, stream ident.Stream, from ident.Offset, most int, wait clock.Millis) (Batch, error)
+	ReadSome(ctx context.Context, stream ident.Stream, from ident.Offset, maxBytes int, wait clock.Millis) (Batch, error)
 }
 
 // Log is the platform's log service.
@@ -116,13 +116,13 @@
 }
 
 const (
-	readWait                 = 2 * clock.Second
-	readTimeout              = 5 * clock.Second
-	retryFirst  clock.Millis = 50
-	retryMost                = 1 * clock.Second
-	// timeoutGrowth bounds how far the time of a read is drawn out after reads
+	readWait                   = 2 * clock.Second
+	readTimeout                = 5 * clock.Second
+	minRetryDelay clock.Millis = 50
+	maxRetryDelay              = 1 * clock.Second
+	// maxTimeoutFactor bounds how far the time of a read is drawn out after reads
 	// that failed: a log that is busy must not be asked for the same again and again.
-	timeoutGrowth = 4
+	maxTimeoutFactor = 4
 )
 
 // Tailer follows one stream in order. Set the fields before Run.
@@ -152,11 +152,11 @@
 // growing, bounded pause.
 func (t *Tailer) Run(ctx context.Context) {
 	next := t.From
-	pause := retryFirst
-	wait, usual := cmp.Or(t.Wait, readWait), cmp.Or(t.Timeout, readTimeout)
-	timeout := usual
+	retryDelay := minRetryDelay
+	wait, baseTimeout := cmp.Or(t.Wait, readWait), cmp.Or(t.Timeout, readTimeout)
+	timeout := baseTimeout
 	for ctx.Err() == nil {
-		began := t.Clock.Mono()
+		startedAt := t.Clock.Mono()
 		readCtx, cancel := context.WithTimeout(ctx, timeout.Duration())
 		batch, err := t.Log.Read(readCtx, t.Stream, next, wait)
 		cancel()
@@ -164,17 +164,17 @@
 			if t.OnError != nil && ctx.Err() == nil {
 				t.OnError(err)
 			}
-			if t.Clock.Mono()-began >= timeout {
-				timeout = min(2*timeout, timeoutGrowth*usual)
+			if t.Clock.Mono()-startedAt >= timeout {
+				timeout = min(2*timeout, maxTimeoutFactor*baseTimeout)
 			}
-			t.Clock.Sleep(ctx, jitter(pause))
-			pause = min(2*pause, retryMost)
+			t.Clock.Sleep(ctx, jitter(retryDelay))
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 			continue
 		}
-		pause, timeout = retryFirst, usual
-		batch.CurrentAt = CurrentAt(began, t.Clock.Mono(), wait)
+		retryDelay, timeout = minRetryDelay, baseTimeout
+		batch.CurrentAt = CurrentAt(startedAt, t.Clock.Mono(), wait)
 		t.Apply(batch)
-		next = after(batch, next)
+		next = nextOffset(batch, next)
 		if t.Pause != nil && next >= batch.Next {
 			t.pause(ctx)
 		}
@@ -183,8 +183,8 @@
 
 // jitter returns a pause that differs by up to a quarter from the given one, so that
 // instances that failed together do not come back together.
-func jitter(pause clock.Millis) clock.Millis {
-	return pause*3/4 + clock.Millis(rand.Int64N(int64(pause)/2+1))
+func jitter(delay clock.Millis) clock.Millis {
+	return delay*3/4 + clock.Millis(rand.Int64N(int64(delay)/2+1))
 }
 
 func (t *Tailer) pause(ctx context.Context) {
@@ -195,7 +195,7 @@
 	}
 }
 
-func after(batch Batch, next ident.Offset) ident.Offset {
+func nextOffset(batch Batch, next ident.Offset) ident.Offset {
 	if n := len(batch.Records); n > 0 {
 		return batch.Records[n-1].Offset + 1
 	}
--- a/kernel/tail/tailer_test.go
+++ b/kernel/tail/tailer_test.go
@@ -11,11 +11,11 @@
 )
 
 // busyReader answers after a while, if it is still asked then.
-type busyReader struct{ takes time.Duration }
+type busyReader struct{ delay time.Duration }
 
 func (r busyReader) Read(ctx context.Context, _ ident.Stream, from ident.Offset, _ clock.Millis) (Batch, error) {
 	select {
-	case <-time.After(r.takes):
+	case <-time.After(r.delay):
 		return Batch{First: 1, Next: from + 1, Records: []Record{{Offset: from}}}, nil
 	case <-ctx.Done():
 		return Batch{}, fault.Wrap("busyReader.Read", Unavailable, ctx.Err(), "too slow")
@@ -27,7 +27,7 @@
 	defer cancel()
 	read := 0
 	tailer := &Tailer{
-		Log: busyReader{takes: 150 * time.Millisecond}, Stream: "s.0", Clock: clock.New(), Timeout: 60,
+		Log: busyReader{delay: 150 * time.Millisecond}, Stream: "s.0", Clock: clock.New(), Timeout: 60,
 		Apply: func(Batch) {
 			read++
 			cancel()
@@ -42,21 +42,21 @@
 // frozenLog answers while its reader stands still.
 type frozenLog struct {
 	clock *clock.Clock
-	span  clock.Millis
+	stall clock.Millis
 }
 
 func (l *frozenLog) Read(context.Context, ident.Stream, ident.Offset, clock.Millis) (Batch, error) {
-	l.clock.Advance(l.span)
+	l.clock.Advance(l.stall)
 	return Batch{First: 1, Next: 1}, nil
 }
 
 func TestTailerTellsUntilWhenAnAnswerHolds(t *testing.T) {
-	for _, c := range []struct{ span, told clock.Millis }{{span: 4, told: 4}, {span: 5700, told: 500 + answerTerm}} {
+	for _, c := range []struct{ span, currentAt clock.Millis }{{span: 4, currentAt: 4}, {span: 5700, currentAt: 500 + maxResponseDelay}} {
 		manual := clock.NewManual(clock.Minute)
 		ctx, stop := context.WithCancel(t.Context())
-		tailer := &Tailer{Log: &frozenLog{clock: manual, span: c.span}, Clock: manual, Wait: 500, Apply: func(b Batch) {
-			if got := b.CurrentAt - clock.Minute; got != c.told {
-				t.Errorf("an answer after %d ms holds until %d ms, want %d", c.span, got, c.told)
+		tailer := &Tailer{Log: &frozenLog{clock: manual, stall: c.span}, Clock: manual, Wait: 500, Apply: func(b Batch) {
+			if got := b.CurrentAt - clock.Minute; got != c.currentAt {
+				t.Errorf("an answer after %d ms holds until %d ms, want %d", c.span, got, c.currentAt)
 			}
 			stop()
 		}}
--- a/kernel/tail/writer.go
+++ b/kernel/tail/writer.go
@@ -45,36 +45,36 @@
 	OnError   func(error)
 	OnSuccess func()
 
-	mu    sync.Mutex
-	lanes map[ident.Stream]*lane
-	group conc.WaitGroup
-	ctx   context.Context
+	mu     sync.Mutex
+	queues map[ident.Stream]*queue
+	group  conc.WaitGroup
+	ctx    context.Context
 }
 
-// lane is the queue of one stream.
-type lane struct {
+// queue is the queue of one stream.
+type queue struct {
 	mu      sync.Mutex
-	waiting []*entry
+	pending []*pendingWrite
 	wake    chan struct{}
 	epoch   int64
 	seq     int64
-	// took is the smoothed time of an append.
-	took clock.Millis
+	// smoothedLatency is the smoothed time of an append.
+	smoothedLatency clock.Millis
 }
 
-// entry is what one caller wants appended.
-type entry struct {
+// pendingWrite is what one caller wants appended.
+type pendingWrite struct {
 	records [][]byte
 	bytes   int
 	// sent tells that the log may have the records; gone that the caller left.
-	sent bool
-	gone bool
-	// uncertain tells that a try ended without the log's word.
-	uncertain bool
-	done      chan outcome
+	sent      bool
+	abandoned bool
+	// outcomeUnknown tells that a try ended without the log's word.
+	outcomeUnknown bool
+	done           chan result
 }
 
-type outcome struct {
+type result struct {
 	first ident.Offset
 	err   error
 }
@@ -82,14 +82,14 @@
 const (
 	// recordOverhead is what a record's length costs on the wire.
 	recordOverhead = 4
-	// An append without an answer is repeated after patience times the usual
+	// An append without an answer is repeated after timeoutFactor times the usual
 	// time, within these bounds; each further time doubles it.
-	patience                   = 8
-	leastPatience              = 200 * clock.Millis(1)
-	mostPatience               = 3 * clock.Second
-	firstTook                  = 20 * clock.Millis(1)
-	refusedFirst  clock.Millis = 30
-	refusedMost                = 500 * clock.Millis(1)
+	timeoutFactor               = 8
+	minTimeout                  = 200 * clock.Millis(1)
+	maxTimeout                  = 3 * clock.Second
+	initialLatency              = 20 * clock.Millis(1)
+	minBackoff     clock.Millis = 30
+	maxBackoff                  = 500 * clock.Millis(1)
 )
 
 // Run lets Write work until ctx ends.
@@ -106,19 +106,19 @@
 // error then means that the log does not have them and never will, an Unknown
 // error that it may.
 func (w *Writer) Write(ctx context.Context, stream ident.Stream, records ...[]byte) (ident.Offset, error) {
-	e := &entry{records: records, done: make(chan outcome, 1)}
+	e := &pendingWrite{records: records, done: make(chan result, 1)}
 	for _, r := range records {
 		e.bytes += len(r) + recordOverhead
 	}
-	l := w.lane(stream)
-	if l == nil {
+	q := w.queue(stream)
+	if q == nil {
 		return 0, fault.New("tail.Write", Refused, "the writer does not run")
 	}
-	l.mu.Lock()
-	l.waiting = append(l.waiting, e)
-	l.mu.Unlock()
+	q.mu.Lock()
+	q.pending = append(q.pending, e)
+	q.mu.Unlock()
 	select {
-	case l.wake <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 	select {
@@ -126,69 +126,69 @@
 		return o.first, o.err
 	case <-ctx.Done():
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	select {
 	case o := <-e.done:
 		return o.first, o.err
 	default:
 	}
-	e.gone = true
+	e.abandoned = true
 	if e.sent {
 		return 0, fault.Wrap("tail.Write", Unknown, ctx.Err(), "no word from the log on "+string(stream))
 	}
 	return 0, fault.Wrap("tail.Write", Refused, ctx.Err(), "not written to "+string(stream))
 }
 
-func (w *Writer) lane(stream ident.Stream) *lane {
+func (w *Writer) queue(stream ident.Stream) *queue {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ctx == nil || w.ctx.Err() != nil {
 		return nil
 	}
-	if l := w.lanes[stream]; l != nil {
-		return l
+	if q := w.queues[stream]; q != nil {
+		return q
 	}
-	if w.lanes == nil {
-		w.lanes = map[ident.Stream]*lane{}
+	if w.queues == nil {
+		w.queues = map[ident.Stream]*queue{}
 	}
-	l := &lane{wake: make(chan struct{}, 1), epoch: 1, seq: 1, took: firstTook}
-	w.lanes[stream] = l
-	w.group.Go(func() { w.drain(w.ctx, stream, l) })
-	return l
+	q := &queue{wake: make(chan struct{}, 1), epoch: 1, seq: 1, smoothedLatency: initialLatency}
+	w.queues[stream] = q
+	w.group.Go(func() { w.drain(w.ctx, stream, q) })
+	return q
 }
 
 // drain appends what waits in a lane until ctx ends.
-func (w *Writer) drain(ctx context.Context, stream ident.Stream, l *lane) {
+func (w *Writer) drain(ctx context.Context, stream ident.Stream, q *queue) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.wake:
+		case <-q.wake:
 		}
 		for ctx.Err() == nil {
-			batch := l.next(w.MaxBytes)
+			batch := q.nextBatch(w.MaxBytes)
 			if len(batch) == 0 {
 				break
 			}
-			w.append(ctx, stream, l, batch)
+			w.append(ctx, stream, q, batch)
 		}
 	}
 }
 
-// next takes the entries of the next append off the queue.
-func (l *lane) next(most int) []*entry {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var batch []*entry
+// nextBatch takes the entries of the nextBatch append off the queue.
+func (q *queue) nextBatch(maxBytes int) []*pendingWrite {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	var batch []*pendingWrite
 	size := 0
-	for len(l.waiting) > 0 {
-		e := l.waiting[0]
-		if len(batch) > 0 && size+e.bytes > most {
+	for len(q.pending) > 0 {
+		e := q.pending[0]
+		if len(batch) > 0 && size+e.bytes > maxBytes {
 			break
 		}
-		l.waiting = l.waiting[1:]
-		if e.gone {
+		q.pending = q.pending[1:]
+		if e.abandoned {
 			continue
 		}
 		size += e.bytes
@@ -198,62 +198,62 @@
 }
 
 // append repeats one append until the log's word on it is known.
-func (w *Writer) append(ctx context.Context, stream ident.Stream, l *lane, batch []*entry) {
-	timeout := min(max(patience*l.took, leastPatience), mostPatience)
-	pause := refusedFirst
-	// uncertain tells that a try ended without the log's word. Only the first repeat
+func (w *Writer) append(ctx context.Context, stream ident.Stream, q *queue, batch []*pendingWrite) {
+	timeout := min(max(timeoutFactor*q.smoothedLatency, minTimeout), maxTimeout)
+	pause := minBackoff
+	// outcomeUnknown tells that a try ended without the log's word. Only the first repeat
 	// goes out at once: an answer may be lost alone, but a log that resets connections
 	// does so to the next one too.
-	uncertain := false
+	outcomeUnknown := false
 	for ctx.Err() == nil {
-		records, ok := l.send(&batch)
+		records, ok := q.markSent(&batch)
 		if !ok {
 			return
 		}
-		began := w.Clock.Mono()
+		startedAt := w.Clock.Mono()
 		callCtx, cancel := context.WithTimeout(ctx, timeout.Duration())
-		first, err := w.Log.AppendOnce(callCtx, stream, Ticket{Producer: w.Producer, Epoch: l.epoch, Seq: l.seq}, records)
+		first, err := w.Log.AppendOnce(callCtx, stream, Ticket{Producer: w.Producer, Epoch: q.epoch, Seq: q.seq}, records)
 		cancel()
 		if err == nil {
-			l.took = (3*l.took + w.Clock.Mono() - began) / 4
-			l.finish(batch, first)
-			w.worked()
+			q.smoothedLatency = (3*q.smoothedLatency + w.Clock.Mono() - startedAt) / 4
+			q.complete(batch, first)
+			w.reportSuccess()
 			return
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		w.failed(err)
+		w.reportError(err)
 		switch fault.KindOf[Kind](err) {
 		case Refused:
-			l.unsend(batch)
+			q.unmarkSent(batch)
 			w.Clock.Sleep(ctx, jitter(pause))
-			pause = min(2*pause, refusedMost)
+			pause = min(2*pause, maxBackoff)
 		case OutOfOrder:
-			l.epoch++
-			l.seq = 1
+			q.epoch++
+			q.seq = 1
 		default:
-			l.uncertain(batch)
-			timeout = min(2*timeout, mostPatience)
-			if uncertain {
+			q.markOutcomeUnknown(batch)
+			timeout = min(2*timeout, maxTimeout)
+			if outcomeUnknown {
 				w.Clock.Sleep(ctx, jitter(pause))
-				pause = min(2*pause, refusedMost)
+				pause = min(2*pause, maxBackoff)
 			}
-			uncertain = true
+			outcomeUnknown = true
 		}
 	}
 }
 
-// send marks the entries as sent and joins their records. Entries that nobody
+// markSent marks the entries as sent and joins their records. Entries that nobody
 // waits for and that were certainly not appended are left out; it reports
 // false if none is left.
-func (l *lane) send(batch *[]*entry) ([][]byte, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (q *queue) markSent(batch *[]*pendingWrite) ([][]byte, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	kept := (*batch)[:0]
 	var records [][]byte
 	for _, e := range *batch {
-		if e.gone && !e.sent {
+		if e.abandoned && !e.sent {
 			continue
 		}
 		e.sent = true
@@ -264,43 +264,43 @@
 	return records, len(kept) > 0
 }
 
-// unsend takes the mark back after a refusal, unless an earlier try of the same
+// unmarkSent takes the mark back after a refusal, unless an earlier try of the same
 // ticket is still uncertain.
-func (l *lane) unsend(batch []*entry) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (q *queue) unmarkSent(batch []*pendingWrite) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	for _, e := range batch {
-		if !e.uncertain {
+		if !e.outcomeUnknown {
 			e.sent = false
 		}
 	}
 }
 
-func (l *lane) uncertain(batch []*entry) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (q *queue) markOutcomeUnknown(batch []*pendingWrite) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	for _, e := range batch {
-		e.uncertain = true
+		e.outcomeUnknown = true
 	}
 }
 
-func (l *lane) finish(batch []*entry, first ident.Offset) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.seq++
+func (q *queue) complete(batch []*pendingWrite, first ident.Offset) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.seq++
 	for _, e := range batch {
-		e.done <- outcome{first: first}
+		e.done <- result{first: first}
 		first += ident.Offset(len(e.records))
 	}
 }
 
-func (w *Writer) failed(err error) {
+func (w *Writer) reportError(err error) {
 	if w.OnError != nil {
 		w.OnError(err)
 	}
 }
 
-func (w *Writer) worked() {
+func (w *Writer) reportSuccess() {
 	if w.OnSuccess != nil {
 		w.OnSuccess()
 	}
--- a/kernel/tail/writer_test.go
+++ b/kernel/tail/writer_test.go
@@ -20,14 +20,14 @@
 	records []string
 	answers map[Ticket]ident.Offset
 	calls   int
-	// outcome tells what befalls the nth call.
-	outcome func(call int) fate
+	// failureOf tells what befalls the nth call.
+	failureOf func(call int) failure
 }
 
-type fate int
+type failure int
 
 const (
-	fine fate = iota
+	noFailure failure = iota
 	refused
 	answerLost
 	callLost
@@ -37,7 +37,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	f := l.outcome(l.calls)
+	f := l.failureOf(l.calls)
 	if f == refused {
 		return 0, fault.New("fake", Refused, "busy")
 	}
@@ -75,7 +75,7 @@
 		cancel()
 		group.Wait()
 	})
-	for w.lane("s") == nil {
+	for w.queue("s") == nil {
 		time.Sleep(time.Millisecond)
 	}
 	return w
@@ -103,16 +103,16 @@
 }
 
 func TestWriter(t *testing.T) {
-	faults := map[string]func(int) fate{
-		"a log that works":                    func(int) fate { return fine },
-		"answers that are lost":               func(n int) fate { return map[bool]fate{true: answerLost, false: fine}[n%2 == 1] },
-		"calls that are lost":                 func(n int) fate { return map[bool]fate{true: callLost, false: fine}[n%2 == 1] },
-		"refusals":                            func(n int) fate { return map[bool]fate{true: refused, false: fine}[n%2 == 1] },
-		"a lost answer, a refusal, a success": func(n int) fate { return []fate{fine, answerLost, refused}[n%3] },
+	failures := map[string]func(int) failure{
+		"a log that works":                    func(int) failure { return noFailure },
+		"answers that are lost":               func(n int) failure { return map[bool]failure{true: answerLost, false: noFailure}[n%2 == 1] },
+		"calls that are lost":                 func(n int) failure { return map[bool]failure{true: callLost, false: noFailure}[n%2 == 1] },
+		"refusals":                            func(n int) failure { return map[bool]failure{true: refused, false: noFailure}[n%2 == 1] },
+		"a lost answer, a refusal, a success": func(n int) failure { return []failure{noFailure, answerLost, refused}[n%3] },
 	}
-	for name, outcome := range faults {
+	for name, failureOf := range failures {
 		t.Run(name, func(t *testing.T) {
-			log := &fakeLog{outcome: outcome}
+			log := &fakeLog{failureOf: failureOf}
 			writeMany(t, runWriter(t, log), log)
 		})
 	}
@@ -128,7 +128,7 @@
 
 func TestWriterGivesUp(t *testing.T) {
 	t.Run("refused means that the log never gets it", func(t *testing.T) {
-		log := &fakeLog{outcome: func(n int) fate { return map[bool]fate{true: refused, false: fine}[n < 8] }}
+		log := &fakeLog{failureOf: func(n int) failure { return map[bool]failure{true: refused, false: noFailure}[n < 8] }}
 		w := runWriter(t, log)
 		if kind := writeBriefly(t, w); kind != Refused {
 			t.Fatalf("kind %q, want Refused", kind)
@@ -141,7 +141,7 @@
 		}
 	})
 	t.Run("without a word it may have", func(t *testing.T) {
-		log := &fakeLog{outcome: func(int) fate { return answerLost }}
+		log := &fakeLog{failureOf: func(int) failure { return answerLost }}
 		if kind := writeBriefly(t, runWriter(t, log)); kind != Unknown {
 			t.Errorf("kind %q, want Unknown", kind)
 		}
@@ -151,7 +151,7 @@
 // A log that resets each connection at once must not be asked again without a pause:
 // 48 instances made 35,000 appends a second so.
 func TestResetAppendsPause(t *testing.T) {
-	log := &fakeLog{outcome: func(int) fate { return callLost }}
+	log := &fakeLog{failureOf: func(int) failure { return callLost }}
 	w := runWriter(t, log)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
