--- a/kernel/tail/tail.go
+++ b/kernel/tail/tail.go
@@ -1,5 +1,5 @@
-// Package tail is the platform's append-only log service as croftmoor uses it:
-// streams of records with offsets, appended by anyone and read in order.
+// Package tail holds the client of the platform's append-only log service: streams of records
+// with increasing offsets, to which many writers append and which readers follow in order.
 package tail
 
 import (
@@ -18,7 +18,7 @@
 
 // Kinds of errors.
 const (
-	// Refused means that the log said it did not append the record.
+	// Refused means that the log did not append the record.
 	Refused Kind = "Refused"
 	// Unknown means that the record may or may not have been appended.
 	Unknown Kind = "Unknown"
@@ -36,80 +36,81 @@
 	Data   []byte
 }
 
-// Batch is what one read returned. First is the oldest offset still kept and
-// Next the offset that the next record will get.
+// Batch is the result of one read. First is the oldest offset still kept, and Next is the
+// offset that the next record of the stream will get.
 type Batch struct {
 	First   ident.Offset
 	Next    ident.Offset
 	Records []Record
-	// CurrentAt is until when, by the reader's steady clock, the batch is known to have been
-	// all there was; 0 is until it was received. See CurrentAt.
+	// CurrentAt is the latest time, on the reader's monotonic clock, at which the batch is
+	// known to have been up to date; 0 means the time of its receipt. See the function
+	// CurrentAt.
 	CurrentAt clock.Millis
 }
 
-// maxResponseDelay is how long the log's answer may be under way, beyond the time that the
-// call waits for a record: 4 ms by what the platform says, 50 times that when the log is slow.
+// maxResponseDelay bounds the time that a response may take beyond the read's wait for a
+// record and still count as current at its receipt.
 const maxResponseDelay = 300 * clock.Millis(1)
 
-// CurrentAt returns until when an answer is known to hold that was asked for at a time and
-// received at another, the call waiting for a record so long at most. An answer that took
-// longer was held up, or its reader was: one that had stood still for 5.7 s took the
-// answer that lay in its socket for news, and denied a job that was accepted meanwhile.
+// CurrentAt returns the latest time at which the response to a read is known to have been up
+// to date. wait is the read's longest wait for a record. A response that took longer than wait
+// and maxResponseDelay was delayed, or its reader was suspended, and records may have been
+// appended in the meantime.
 func CurrentAt(sentAt, receivedAt, wait clock.Millis) clock.Millis {
 	return min(receivedAt, sentAt+wait+maxResponseDelay)
 }
 
 // Reader reads streams in order.
 type Reader interface {
-	// Read returns records from offset on, waiting up to wait for the first one.
+	// Read returns records from offset from on, waiting up to wait for the first one.
 	Read(ctx context.Context, stream ident.Stream, from ident.Offset, wait clock.Millis) (Batch, error)
 }
 
-// Entry is the newest record of a key of a keyed stream.
+// Entry is the newest record of one key of a keyed stream.
 type Entry struct {
 	Key    string
 	Value  []byte
 	Offset ident.Offset
 }
 
-// Page is a part of the newest records of a keyed stream.
+// Page is one page of the newest records of a keyed stream.
 type Page struct {
-	// Entries are in the order of their keys.
+	// Entries are sorted by key.
 	Entries []Entry
 	// Next is the offset that the next record of the stream will get.
 	Next ident.Offset
-	// More tells that there may be entries behind the last one.
+	// More reports whether there may be entries after the last one.
 	More bool
 }
 
 // KeyedReader reads streams that keep the newest record of each key.
 type KeyedReader interface {
-	// Newest returns the newest records of the keys behind a key, "" for the first
-	// ones. Pages are no snapshot: what changes meanwhile comes again from the first
-	// page's Next on. One call is one page, so that a caller can give each its own
-	// time and keep those that came.
+	// Newest returns one page of newest records, those of the keys after afterKey; "" starts
+	// with the first key. The pages are not a snapshot: to get the records appended in the
+	// meantime, follow the stream from the Next of the first page. Each call reads one page,
+	// so that the caller can bound each read and keep the pages already read.
 	Newest(ctx context.Context, stream ident.Stream, afterKey string) (Page, error)
 }
 
-// ChunkReader reads parts of streams.
+// ChunkReader reads streams in parts of limited size.
 type ChunkReader interface {
-	// ReadSome returns records from offset on, about most bytes of them, waiting
-	// up to wait for the first one.
+	// ReadSome returns records from offset from on, about maxBytes bytes of them, waiting up
+	// to wait for the first one.
 	ReadSome(ctx context.Context, stream ident.Stream, from ident.Offset, maxBytes int, wait clock.Millis) (Batch, error)
 }
 
 // Log is the platform's log service.
 type Log interface {
 	Reader
-	// Append adds a record and returns its offset. After an Unknown error the
-	// record may still be there.
+	// Append appends a record and returns its offset. After an Unknown error the record may
+	// have been appended.
 	Append(ctx context.Context, stream ident.Stream, data []byte) (ident.Offset, error)
 }
 
-// Clients holds the log clients by the name that settings use.
+// Clients holds the log clients by the names that the settings use.
 var Clients plug.Registry[Client]
 
-// Client is a log client that is told where the log is before use.
+// Client is a log client. Connect sets the log's address and must be called first.
 type Client interface {
 	Log
 	Connect(address ident.Address)
@@ -120,8 +121,8 @@
 	readTimeout                = 5 * clock.Second
 	minRetryDelay clock.Millis = 50
 	maxRetryDelay              = 1 * clock.Second
-	// maxTimeoutFactor bounds how far the time of a read is drawn out after reads
-	// that failed: a log that is busy must not be asked for the same again and again.
+	// maxTimeoutFactor bounds the growth of the timeout after reads that timed out. A longer
+	// timeout keeps a busy log from repeated work on reads that nobody waits for.
 	maxTimeoutFactor = 4
 )
 
@@ -132,24 +133,24 @@
 	Clock  *clock.Clock
 	// From is the first offset wanted; 0 means the oldest kept.
 	From ident.Offset
-	// Apply is called with each batch in order, from one goroutine. A batch
-	// without records still tells First and Next.
+	// Apply is called with each batch in order, from one goroutine. A batch without records
+	// still carries First and Next.
 	Apply func(Batch)
 	// OnError is called when a read fails; it may be nil.
 	OnError func(error)
-	// Wait is how long a read waits for a record, and Timeout bounds the whole
-	// read; zero values mean the defaults.
+	// Wait is how long a read waits for a record, and Timeout bounds the whole read; zero
+	// values mean the defaults.
 	Wait    clock.Millis
 	Timeout clock.Millis
-	// Pause returns the pause after a batch, so that records that come one by one
-	// do not cost a read each; nil is none.
+	// Pause returns how long to wait at the end of the stream before the next read, so that
+	// records that arrive one by one share a read; nil means no wait.
 	Pause func() clock.Millis
-	// Wake ends a pause early when something is received from it; it may be nil.
+	// Wake ends such a wait early when a value is received from it; it may be nil.
 	Wake <-chan struct{}
 }
 
-// Run follows the stream until ctx ends. Failed reads are retried with a
-// growing, bounded pause.
+// Run follows the stream until ctx ends. It retries failed reads after a growing, bounded
+// delay.
 func (t *Tailer) Run(ctx context.Context) {
 	next := t.From
 	retryDelay := minRetryDelay
@@ -181,8 +182,8 @@
 	}
 }
 
-// jitter returns a pause that differs by up to a quarter from the given one, so that
-// instances that failed together do not come back together.
+// jitter returns a random delay from 3/4 to 5/4 of delay, which spreads the retries of
+// instances that failed at the same time.
 func jitter(delay clock.Millis) clock.Millis {
 	return delay*3/4 + clock.Millis(rand.Int64N(int64(delay)/2+1))
 }
--- a/kernel/tail/tailer_test.go
+++ b/kernel/tail/tailer_test.go
@@ -10,7 +10,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// busyReader answers after a while, if it is still asked then.
+// busyReader answers after delay, unless ctx ends first.
 type busyReader struct{ delay time.Duration }
 
 func (r busyReader) Read(ctx context.Context, _ ident.Stream, from ident.Offset, _ clock.Millis) (Batch, error) {
@@ -35,11 +35,11 @@
 	}
 	tailer.Run(ctx)
 	if read == 0 {
-		t.Error("no read ever came to its end")
+		t.Error("no read completed")
 	}
 }
 
-// frozenLog answers while its reader stands still.
+// frozenLog advances the clock by stall during a read, as if its reader were suspended.
 type frozenLog struct {
 	clock *clock.Clock
 	stall clock.Millis
@@ -56,7 +56,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		tailer := &Tailer{Log: &frozenLog{clock: manual, stall: c.span}, Clock: manual, Wait: 500, Apply: func(b Batch) {
 			if got := b.CurrentAt - clock.Minute; got != c.currentAt {
-				t.Errorf("an answer after %d ms holds until %d ms, want %d", c.span, got, c.currentAt)
+				t.Errorf("a response after %d ms is current at %d ms, want %d", c.span, got, c.currentAt)
 			}
 			stop()
 		}}
--- a/kernel/tail/writer.go
+++ b/kernel/tail/writer.go
@@ -14,8 +14,8 @@
 // OutOfOrder means that the log expects another ticket of this producer.
 const OutOfOrder Kind = "OutOfOrder"
 
-// Ticket makes an append harmless to repeat: the log takes each ticket of a
-// producer once, in order, and answers a repeated one as it did first.
+// Ticket makes an append idempotent: the log accepts each ticket of a producer once, in order,
+// and answers a repeated ticket with the offset of the first append.
 type Ticket struct {
 	Producer string
 	Epoch    int64
@@ -24,24 +24,23 @@
 
 // Appender appends records under a ticket, all or none.
 type Appender interface {
-	// AppendOnce returns the offset of the first record. After a Refused error
-	// nothing was appended; after an Unknown error the same ticket may be used
-	// again to find out.
+	// AppendOnce returns the offset of the first record. After a Refused error nothing was
+	// appended; after an Unknown error the caller may repeat the ticket to learn the outcome.
 	AppendOnce(ctx context.Context, stream ident.Stream, ticket Ticket, records [][]byte) (ident.Offset, error)
 }
 
-// Writer appends to streams for many callers at once: what comes while an
-// append is under way goes together in the next one. Set the exported fields
-// before Run. Lanes are guarded by mu, the state of each by its own lock.
+// Writer appends to streams for many concurrent callers: records that arrive during an append
+// go together into the next one. Set the exported fields before Run. mu guards the unexported
+// fields; each queue has its own lock.
 type Writer struct {
 	Log   Appender
 	Clock *clock.Clock
-	// Producer must be unique to this life of the process.
+	// Producer must be unique to this start of the process.
 	Producer string
-	// MaxBytes bounds one append.
+	// MaxBytes bounds the size of one append. A larger single write is sent alone.
 	MaxBytes int
-	// OnError is called when an append fails, before it is repeated; Worked when
-	// one is acknowledged. Both may be nil.
+	// OnError is called after each failed attempt of an append, OnSuccess after each
+	// acknowledged append. Both may be nil.
 	OnError   func(error)
 	OnSuccess func()
 
@@ -51,25 +50,27 @@
 	ctx    context.Context
 }
 
-// queue is the queue of one stream.
+// queue holds the pending writes of one stream. mu guards pending and the flags of each write;
+// only the goroutine of drain uses epoch, seq and smoothedLatency.
 type queue struct {
 	mu      sync.Mutex
 	pending []*pendingWrite
 	wake    chan struct{}
 	epoch   int64
 	seq     int64
-	// smoothedLatency is the smoothed time of an append.
+	// smoothedLatency is the moving average of the duration of acknowledged appends.
 	smoothedLatency clock.Millis
 }
 
-// pendingWrite is what one caller wants appended.
+// pendingWrite is one call of Write.
 type pendingWrite struct {
 	records [][]byte
 	bytes   int
-	// sent tells that the log may have the records; gone that the caller left.
+	// sent reports whether the log may have the records, abandoned whether the caller stopped
+	// waiting.
 	sent      bool
 	abandoned bool
-	// outcomeUnknown tells that a try ended without the log's word.
+	// outcomeUnknown reports whether an attempt ended without a response of the log.
 	outcomeUnknown bool
 	done           chan result
 }
@@ -80,10 +81,10 @@
 }
 
 const (
-	// recordOverhead is what a record's length costs on the wire.
+	// recordOverhead is the size of a record's length on the wire, in bytes.
 	recordOverhead = 4
-	// An append without an answer is repeated after timeoutFactor times the usual
-	// time, within these bounds; each further time doubles it.
+	// An attempt times out after timeoutFactor times the smoothed latency, within minTimeout
+	// and maxTimeout. Each attempt without a response doubles the timeout.
 	timeoutFactor               = 8
 	minTimeout                  = 200 * clock.Millis(1)
 	maxTimeout                  = 3 * clock.Second
@@ -92,7 +93,7 @@
 	maxBackoff                  = 500 * clock.Millis(1)
 )
 
-// Run lets Write work until ctx ends.
+// Run enables Write until ctx ends, and returns once all queues have stopped.
 func (w *Writer) Run(ctx context.Context) {
 	w.mu.Lock()
 	w.ctx = ctx
@@ -101,10 +102,9 @@
 	w.group.Wait()
 }
 
-// Write appends records to a stream, next to each other, and returns the offset
-// of the first one. It repeats until the log has them or ctx ends; a Refused
-// error then means that the log does not have them and never will, an Unknown
-// error that it may.
+// Write appends records to a stream, next to each other, and returns the offset of the first
+// one. It retries until the log has acknowledged them or ctx ends. A Refused error then means
+// that the log does not have them and never will, an Unknown error that it may have them.
 func (w *Writer) Write(ctx context.Context, stream ident.Stream, records ...[]byte) (ident.Offset, error) {
 	e := &pendingWrite{records: records, done: make(chan result, 1)}
 	for _, r := range records {
@@ -112,7 +112,7 @@
 	}
 	q := w.queue(stream)
 	if q == nil {
-		return 0, fault.New("tail.Write", Refused, "the writer does not run")
+		return 0, fault.New("tail.Write", Refused, "the writer is not running")
 	}
 	q.mu.Lock()
 	q.pending = append(q.pending, e)
@@ -135,9 +135,9 @@
 	}
 	e.abandoned = true
 	if e.sent {
-		return 0, fault.Wrap("tail.Write", Unknown, ctx.Err(), "no word from the log on "+string(stream))
+		return 0, fault.Wrap("tail.Write", Unknown, ctx.Err(), "no response from the log for stream "+string(stream))
 	}
-	return 0, fault.Wrap("tail.Write", Refused, ctx.Err(), "not written to "+string(stream))
+	return 0, fault.Wrap("tail.Write", Refused, ctx.Err(), "not appended to stream "+string(stream))
 }
 
 func (w *Writer) queue(stream ident.Stream) *queue {
@@ -158,7 +158,7 @@
 	return q
 }
 
-// drain appends what waits in a lane until ctx ends.
+// drain appends the pending writes of a queue until ctx ends.
 func (w *Writer) drain(ctx context.Context, stream ident.Stream, q *queue) {
 	for {
 		select {
@@ -176,7 +176,8 @@
 	}
 }
 
-// nextBatch takes the entries of the nextBatch append off the queue.
+// nextBatch removes from the queue the writes of the next append: as many as fit into
+// maxBytes, but at least one.
 func (q *queue) nextBatch(maxBytes int) []*pendingWrite {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -197,13 +198,13 @@
 	return batch
 }
 
-// append repeats one append until the log's word on it is known.
+// append sends a batch until the log acknowledges it, no caller waits for it, or ctx ends.
 func (w *Writer) append(ctx context.Context, stream ident.Stream, q *queue, batch []*pendingWrite) {
 	timeout := min(max(timeoutFactor*q.smoothedLatency, minTimeout), maxTimeout)
 	pause := minBackoff
-	// outcomeUnknown tells that a try ended without the log's word. Only the first repeat
-	// goes out at once: an answer may be lost alone, but a log that resets connections
-	// does so to the next one too.
+	// outcomeUnknown reports whether an attempt ended without a response of the log. Only the
+	// first retry is sent at once: a single response may get lost, but a log that resets one
+	// connection often resets the next one too.
 	outcomeUnknown := false
 	for ctx.Err() == nil {
 		records, ok := q.markSent(&batch)
@@ -244,9 +245,8 @@
 	}
 }
 
-// markSent marks the entries as sent and joins their records. Entries that nobody
-// waits for and that were certainly not appended are left out; it reports
-// false if none is left.
+// markSent marks the writes of a batch as sent and returns their records. It drops abandoned
+// writes that were certainly not appended, and returns false if none is left.
 func (q *queue) markSent(batch *[]*pendingWrite) ([][]byte, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -264,8 +264,8 @@
 	return records, len(kept) > 0
 }
 
-// unmarkSent takes the mark back after a refusal, unless an earlier try of the same
-// ticket is still uncertain.
+// unmarkSent clears the mark after a refusal, unless the outcome of an earlier attempt with
+// the same ticket is unknown.
 func (q *queue) unmarkSent(batch []*pendingWrite) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/kernel/tail/writer_test.go
+++ b/kernel/tail/writer_test.go
@@ -13,14 +13,13 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// fakeLog takes appends by the published rules of tickets, and misbehaves as
-// told: it may lose the answer of an append that it made, or refuse.
+// fakeLog applies each ticket once. It can refuse an append, or lose its call or its response.
 type fakeLog struct {
 	mu      sync.Mutex
 	records []string
 	answers map[Ticket]ident.Offset
 	calls   int
-	// failureOf tells what befalls the nth call.
+	// failureOf returns the failure of the nth call.
 	failureOf func(call int) failure
 }
 
@@ -81,8 +80,8 @@
 	return w
 }
 
-// writeMany appends from several goroutines and checks that each record lies
-// once, at the offset that its writer was told.
+// writeMany appends from several goroutines and checks that each record is stored once, at the
+// offset that its writer got.
 func writeMany(t *testing.T, w *Writer, log *fakeLog) {
 	t.Helper()
 	const writers = 20
@@ -137,7 +136,7 @@
 			t.Fatal(err)
 		}
 		if len(log.records) != 1 || log.records[0] != "y" {
-			t.Errorf("records %v: what was said to be refused was appended", log.records)
+			t.Errorf("records %v: a record reported as refused was appended", log.records)
 		}
 	})
 	t.Run("without a word it may have", func(t *testing.T) {
@@ -148,8 +147,7 @@
 	})
 }
 
-// A log that resets each connection at once must not be asked again without a pause:
-// 48 instances made 35,000 appends a second so.
+// Guards against retries without a delay to a log that resets each connection at once.
 func TestResetAppendsPause(t *testing.T) {
 	log := &fakeLog{failureOf: func(int) failure { return callLost }}
 	w := runWriter(t, log)
