--- a/kernel/strict/strict.go
+++ b/kernel/strict/strict.go
@@ -32,15 +32,15 @@
 
 // Problems collects the problems of one file.
 type Problems struct {
-	problems []Problem
+	list []Problem
 }
 
 // Object is a JSON object that is being read; fields not asked for are problems.
 type Object struct {
-	reader *Problems
-	path   string
-	fields map[string]json.RawMessage
-	seen   map[string]bool
+	problems  *Problems
+	path      string
+	fields    map[string]json.RawMessage
+	requested map[string]bool
 }
 
 // Parse reads data as one JSON object.
@@ -53,35 +53,35 @@
 	if decoder.More() {
 		return nil, nil, fault.New("strict.Parse", Syntax, "text after the end of the JSON object")
 	}
-	reader := &Problems{}
-	return reader, reader.object("$", raw), nil
+	problems := &Problems{}
+	return problems, problems.readObject("$", raw), nil
 }
 
 // Add records a problem that a caller found in a value.
-func (r *Problems) Add(path, value, allowed string) {
-	r.problems = append(r.problems, Problem{Path: path, Value: value, Allowed: allowed})
+func (p *Problems) Add(path, value, allowed string) {
+	p.list = append(p.list, Problem{Path: path, Value: value, Allowed: allowed})
 }
 
 // Err returns an error that lists all problems, or nil.
 func (r *Problems) Err(op string) error {
-	if len(r.problems) == 0 {
+	if len(r.list) == 0 {
 		return nil
 	}
-	lines := make([]string, 0, len(r.problems))
-	for _, p := range r.problems {
-		lines = append(lines, fmt.Sprintf("%s is %s; allowed: %s", p.Path, p.Value, p.Allowed))
+	lines := make([]string, 0, len(r.list))
+	for _, problem := range r.list {
+		lines = append(lines, fmt.Sprintf("%s is %s; allowed: %s", problem.Path, problem.Value, problem.Allowed))
 	}
 	err := fault.New(op, Invalid, strings.Join(lines, "; "))
 	err.Do = "correct the fields and apply the file again; nothing was changed"
 	return err
 }
 
-func (r *Problems) object(path string, raw json.RawMessage) *Object {
-	object := &Object{reader: r, path: path, fields: map[string]json.RawMessage{}, seen: map[string]bool{}}
+func (r *Problems) readObject(path string, raw json.RawMessage) *Object {
+	object := &Object{problems: r, path: path, fields: map[string]json.RawMessage{}, requested: map[string]bool{}}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	open, err := decoder.Token()
 	if err != nil || open != json.Delim('{') {
-		r.Add(path, short(raw), "an object")
+		r.Add(path, truncate(raw), "an object")
 		return object
 	}
 	for decoder.More() {
@@ -111,24 +111,24 @@
 	return ok
 }
 
-func (o *Object) take(name string) (json.RawMessage, bool) {
-	o.seen[name] = true
+func (o *Object) lookup(name string) (json.RawMessage, bool) {
+	o.requested[name] = true
 	raw, ok := o.fields[name]
 	return raw, ok
 }
 
 // String reads a text field. A required one must be present and not empty.
 func (o *Object) String(name string, required bool) string {
-	raw, ok := o.take(name)
+	raw, ok := o.lookup(name)
 	if !ok {
 		if required {
-			o.reader.Add(o.Path(name), "missing", "a text")
+			o.problems.Add(o.Path(name), "missing", "a text")
 		}
 		return ""
 	}
 	var value string
 	if err := json.Unmarshal(raw, &value); err != nil || (required && value == "") {
-		o.reader.Add(o.Path(name), short(raw), "a text that is not empty")
+		o.problems.Add(o.Path(name), truncate(raw), "a text that is not empty")
 	}
 	return value
 }
@@ -140,20 +140,20 @@
 	}
 	value := o.String(name, true)
 	if value != "" && !slices.Contains(allowed, value) {
-		o.reader.Add(o.Path(name), fmt.Sprintf("%q", value), strings.Join(allowed, ", "))
+		o.problems.Add(o.Path(name), fmt.Sprintf("%q", value), strings.Join(allowed, ", "))
 	}
 	return value
 }
 
 // Int reads a whole number between low and high; absent, it is fallback.
 func (o *Object) Int(name string, fallback, low, high int64) int64 {
-	raw, ok := o.take(name)
+	raw, ok := o.lookup(name)
 	if !ok {
 		return fallback
 	}
 	var value int64
 	if err := json.Unmarshal(raw, &value); err != nil || value < low || value > high {
-		o.reader.Add(o.Path(name), short(raw), fmt.Sprintf("a whole number from %d to %d", low, high))
+		o.problems.Add(o.Path(name), truncate(raw), fmt.Sprintf("a whole number from %d to %d", low, high))
 		return fallback
 	}
 	return value
@@ -161,13 +161,13 @@
 
 // Float reads a number between low and high; absent, it is fallback.
 func (o *Object) Float(name string, fallback, low, high float64) float64 {
-	raw, ok := o.take(name)
+	raw, ok := o.lookup(name)
 	if !ok {
 		return fallback
 	}
 	var value float64
 	if err := json.Unmarshal(raw, &value); err != nil || value < low || value > high {
-		o.reader.Add(o.Path(name), short(raw), fmt.Sprintf("a number from %g to %g", low, high))
+		o.problems.Add(o.Path(name), truncate(raw), fmt.Sprintf("a number from %g to %g", low, high))
 		return fallback
 	}
 	return value
@@ -175,78 +175,78 @@
 
 // Bool reads true or false; absent, it is fallback.
 func (o *Object) Bool(name string, fallback bool) bool {
-	raw, ok := o.take(name)
+	raw, ok := o.lookup(name)
 	if !ok {
 		return fallback
 	}
 	var value bool
 	if err := json.Unmarshal(raw, &value); err != nil {
-		o.reader.Add(o.Path(name), short(raw), "true or false")
+		o.problems.Add(o.Path(name), truncate(raw), "true or false")
 	}
 	return value
 }
 
 // Object reads an object field; an absent one is empty.
 func (o *Object) Object(name string) *Object {
-	raw, ok := o.take(name)
+	raw, ok := o.lookup(name)
 	if !ok {
 		raw = json.RawMessage("{}")
 	}
-	return o.reader.object(o.Path(name), raw)
+	return o.problems.readObject(o.Path(name), raw)
 }
 
 // Objects reads a list of objects; an absent one is empty.
 func (o *Object) Objects(name string) []*Object {
-	raw, ok := o.take(name)
+	raw, ok := o.lookup(name)
 	if !ok {
 		return nil
 	}
 	var items []json.RawMessage
 	if err := json.Unmarshal(raw, &items); err != nil {
-		o.reader.Add(o.Path(name), short(raw), "a list of objects")
+		o.problems.Add(o.Path(name), truncate(raw), "a list of objects")
 		return nil
 	}
 	objects := make([]*Object, 0, len(items))
 	for i, item := range items {
-		objects = append(objects, o.reader.object(fmt.Sprintf("%s[%d]", o.Path(name), i), item))
+		objects = append(objects, o.problems.readObject(fmt.Sprintf("%s[%d]", o.Path(name), i), item))
 	}
 	return objects
 }
 
 // RefuseUnknown refuses the fields that were not read.
 func (o *Object) RefuseUnknown() {
-	known := make([]string, 0, len(o.seen))
-	for name := range o.seen {
+	known := make([]string, 0, len(o.requested))
+	for name := range o.requested {
 		known = append(known, name)
 	}
 	slices.Sort(known)
 	for name, raw := range o.fields {
-		if !o.seen[name] {
-			o.reader.Add(o.Path(name), short(raw)+", an unknown field", strings.Join(known, ", "))
+		if !o.requested[name] {
+			o.problems.Add(o.Path(name), truncate(raw)+", an unknown field", strings.Join(known, ", "))
 		}
 	}
 }
 
-// shortest is how much of a refused value is shown.
-const shortest = 60
+// maxShownBytes is how much of a refused value is shown.
+const maxShownBytes = 60
 
-func short(raw json.RawMessage) string {
+func truncate(raw json.RawMessage) string {
 	text := string(raw)
-	if len(text) > shortest {
-		return text[:shortest] + "..."
+	if len(text) > maxShownBytes {
+		return text[:maxShownBytes] + "..."
 	}
 	return text
 }
 
 // Strings reads a list of texts; an absent one is empty.
 func (o *Object) Strings(name string) []string {
-	raw, ok := o.take(name)
+	raw, ok := o.lookup(name)
 	if !ok {
 		return nil
 	}
 	var items []string
 	if err := json.Unmarshal(raw, &items); err != nil {
-		o.reader.Add(o.Path(name), short(raw), "a list of texts")
+		o.problems.Add(o.Path(name), truncate(raw), "a list of texts")
 	}
 	return items
 }
