--- a/kernel/clock/clock.go
+++ b/kernel/clock/clock.go
@@ -37,9 +37,9 @@
 // Clock tells the time. The zero value is not usable; see New and NewManual.
 type Clock struct {
 	started time.Time
-	// booted is what sinceBoot told at the start.
-	booted time.Duration
-	manual *manual
+	// uptimeAtStart is what sinceBoot told at the start.
+	uptimeAtStart time.Duration
+	manual        *manual
 }
 
 type manual struct {
@@ -49,8 +49,8 @@
 
 // New returns the system clock.
 func New() *Clock {
-	booted, _ := sinceBoot()
-	return &Clock{started: time.Now(), booted: booted}
+	booted, _ := hostUptime()
+	return &Clock{started: time.Now(), uptimeAtStart: booted}
 }
 
 // NewManual returns a clock that moves only when Advance is called.
@@ -80,20 +80,20 @@
 		defer c.manual.mu.Unlock()
 		return c.manual.now
 	}
-	if now, ok := sinceBoot(); ok {
-		return FromDuration(now - c.booted)
+	if now, ok := hostUptime(); ok {
+		return FromDuration(now - c.uptimeAtStart)
 	}
 	return FromDuration(time.Since(c.started))
 }
 
-// sinceBoot returns the time since the host started, with the time in which it was
+// hostUptime returns the time since the host started, with the time in which it was
 // suspended; it reports false if the host does not tell.
-func sinceBoot() (time.Duration, bool) {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
+func hostUptime() (time.Duration, bool) {
+	var ts unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0, false
 	}
-	return time.Duration(at.Nano()), true
+	return time.Duration(ts.Nano()), true
 }
 
 // Suspended returns for how long the host has been suspended since the process
