--- a/kernel/ident/ident.go
+++ b/kernel/ident/ident.go
@@ -73,8 +73,8 @@
 const randomBytes = 12
 
 const (
-	lifeMark   = "~"
-	lifeDigits = 8
+	incarnationSeparator = "~"
+	incarnationDigits    = 8
 )
 
 // String keeps keys out of logs and messages.
@@ -90,39 +90,39 @@
 // NewInstance returns the name of one life of the instance that the settings
 // name: a restarted instance remembers nothing and must not pass for the old.
 func NewInstance(name string) InstanceName {
-	return InstanceName(name + lifeMark + NewRandom()[:lifeDigits])
+	return InstanceName(name + incarnationSeparator + NewRandom()[:incarnationDigits])
 }
 
 // ListName returns the name under which the platform lists the instance.
-func (n InstanceName) ListName() string { return listName(string(n)) }
+func (n InstanceName) ListName() string { return trimIncarnation(string(n)) }
 
 // NewBackend returns the name of one start of a backend server. Born tells the starts
 // apart; it is when the server started by its own clock, which may go back, so that
 // names say which starts are the same and not which came first. 0 is a server that
 // does not tell: it has the same name always.
-func NewBackend(listed string, born int64) BackendName {
-	if born == 0 {
-		return BackendName(listed)
+func NewBackend(name string, startedAt int64) BackendName {
+	if startedAt == 0 {
+		return BackendName(name)
 	}
-	return BackendName(listed + lifeMark + strconv.FormatInt(born, lifeBase))
+	return BackendName(name + incarnationSeparator + strconv.FormatInt(startedAt, startTimeBase))
 }
 
-// lifeBase keeps names short: a time in Unix milliseconds has eight digits.
-const lifeBase = 36
+// startTimeBase keeps names short: a time in Unix milliseconds has eight digits.
+const startTimeBase = 36
 
 // ListName returns the name under which the platform lists the backend server, which
 // may be that of its other starts as well.
-func (n BackendName) ListName() string { return listName(string(n)) }
+func (n BackendName) ListName() string { return trimIncarnation(string(n)) }
 
 // OtherStart returns the name of the start that a server tells of, and whether that is
 // another one than the named one. If either does not tell, it is not known to be.
-func (n BackendName) OtherStart(born int64) (other BackendName, is bool) {
-	other = NewBackend(n.ListName(), born)
-	return other, born != 0 && other != n && n.ListName() != string(n)
+func (n BackendName) OtherStart(startedAt int64) (other BackendName, differs bool) {
+	other = NewBackend(n.ListName(), startedAt)
+	return other, startedAt != 0 && other != n && n.ListName() != string(n)
 }
 
-func listName(name string) string {
-	if at := strings.LastIndex(name, lifeMark); at >= 0 {
+func trimIncarnation(name string) string {
+	if at := strings.LastIndex(name, incarnationSeparator); at >= 0 {
 		return name[:at]
 	}
 	return name
--- a/kernel/ident/ident_test.go
+++ b/kernel/ident/ident_test.go
@@ -7,19 +7,19 @@
 	if first == second || first.ListName() != "i-1" || second.ListName() != "i-1" {
 		t.Errorf("starts %s and %s, want two of i-1", first, second)
 	}
-	if silent := NewBackend("i-1", 0); silent.ListName() != string(silent) {
-		t.Errorf("%s is listed as %s", silent, silent.ListName())
+	if unreported := NewBackend("i-1", 0); unreported.ListName() != string(unreported) {
+		t.Errorf("%s is listed as %s", unreported, unreported.ListName())
 	}
 	cases := []struct {
-		name  BackendName
-		told  int64
-		other bool
+		name     BackendName
+		reported int64
+		other    bool
 	}{
 		{first, 1_772_000_000_000, false}, {first, 1_772_000_000_001, true}, {first, 0, false}, {NewBackend("i-1", 0), 7, false},
 	}
 	for _, c := range cases {
-		if other, is := c.name.OtherStart(c.told); is != c.other {
-			t.Errorf("%s, told %d: another start %v (%s), want %v", c.name, c.told, is, other, c.other)
+		if other, is := c.name.OtherStart(c.reported); is != c.other {
+			t.Errorf("%s, told %d: another start %v (%s), want %v", c.name, c.reported, is, other, c.other)
 		}
 	}
 }
