--- a/kernel/clock/clock.go
+++ b/kernel/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock is the one source of time in croftmoor. All times are
-// milliseconds; a manual clock drives decisions in tests.
+// Package clock is the only source of time in croftmoor. All times are in milliseconds. Tests
+// drive decisions with a manual clock.
 package clock
 
 import (
@@ -29,15 +29,15 @@
 	return time.UnixMilli(int64(m))
 }
 
-// FromDuration converts a standard library span, rounding down.
+// FromDuration converts a standard library span, truncated to milliseconds.
 func FromDuration(d time.Duration) Millis {
 	return Millis(d.Milliseconds())
 }
 
-// Clock tells the time. The zero value is not usable; see New and NewManual.
+// Clock reads the time and waits. The zero value is not usable; see New and NewManual.
 type Clock struct {
 	started time.Time
-	// uptimeAtStart is what sinceBoot told at the start.
+	// uptimeAtStart is the host's uptime when the clock was created.
 	uptimeAtStart time.Duration
 	manual        *manual
 }
@@ -58,7 +58,8 @@
 	return &Clock{manual: &manual{now: start}}
 }
 
-// Now returns wall time. It may jump when the host's time is set.
+// Now returns wall-clock time, or the time of a manual clock. It may jump when the host's time
+// is set.
 func (c *Clock) Now() Millis {
 	if c.manual != nil {
 		return c.Mono()
@@ -66,14 +67,12 @@
 	return Millis(time.Now().UnixMilli())
 }
 
-// Mono returns monotonic time since the process started. It counts the time in which
-// the host was suspended, which the language's own steady clock leaves out: whatever
-// others rely on has passed for them, too. So all terms go by it, those of leases,
-// claims, windows of use, callers' deadlines and keys, how old a configuration or the
-// ledger is, how long a connection has rested. A lease of 3 s was believed to be held
-// after a suspension of any length; 20,000 histories of the lease's model have none of
-// that. Timers do not count a suspension: what runs late must look at this clock before
-// it acts. A reading takes 190 to 280 ns, 35 with the language's clock (BenchmarkMono).
+// Mono returns monotonic time since New, or the time of a manual clock. It includes the time
+// in which the host was suspended, which the monotonic clock of package time leaves out:
+// leases, deadlines and timeouts also expire for others during a suspension, so all of them
+// are compared with this clock. Timers stand still during a suspension; code that runs on a
+// timer must read this clock before it acts. A reading costs a system call. On a host without
+// this clock, Mono leaves out suspensions.
 func (c *Clock) Mono() Millis {
 	if c.manual != nil {
 		c.manual.mu.Lock()
@@ -86,8 +85,8 @@
 	return FromDuration(time.Since(c.started))
 }
 
-// hostUptime returns the time since the host started, with the time in which it was
-// suspended; it reports false if the host does not tell.
+// hostUptime returns the time since the host booted, including suspensions. It returns false
+// if the host does not provide it.
 func hostUptime() (time.Duration, bool) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -96,8 +95,7 @@
 	return time.Duration(ts.Nano()), true
 }
 
-// Suspended returns for how long the host has been suspended since the process
-// started.
+// Suspended returns how long the host has been suspended since New; 0 for a manual clock.
 func (c *Clock) Suspended() Millis {
 	if c.manual != nil {
 		return 0
@@ -105,14 +103,15 @@
 	return c.Mono() - FromDuration(time.Since(c.started))
 }
 
-// Advance moves a manual clock forward by span.
+// Advance moves a manual clock forward by span. Other clocks can't be advanced.
 func (c *Clock) Advance(span Millis) {
 	c.manual.mu.Lock()
 	defer c.manual.mu.Unlock()
 	c.manual.now += span
 }
 
-// Sleep waits for span of real time. It reports false if ctx ended first.
+// Sleep waits for span of real time, also on a manual clock. It returns false if ctx ended
+// first.
 func (c *Clock) Sleep(ctx context.Context, span Millis) bool {
 	timer := time.NewTimer(span.Duration())
 	defer timer.Stop()
@@ -129,21 +128,21 @@
 	return time.After(span.Duration())
 }
 
-// Every calls do each period until ctx ends. The first call is after one period.
+// Every calls do until ctx ends, and waits for period before each call.
 func (c *Clock) Every(ctx context.Context, period Millis, do func()) {
 	for c.Sleep(ctx, period) {
 		do()
 	}
 }
 
-// AfterFunc calls do once span of real time has passed, unless the returned
-// timer is stopped before.
+// AfterFunc calls do in its own goroutine once span of real time has passed, unless the
+// returned timer is stopped before.
 func (c *Clock) AfterFunc(span Millis, do func()) *time.Timer {
 	return time.AfterFunc(span.Duration(), do)
 }
 
-// Precise returns monotonic time in milliseconds with a fraction, for
-// measurements of short spans.
+// Precise returns monotonic time since New in milliseconds with a fraction, without
+// suspensions, to measure short spans. It must not be called on a manual clock.
 func (c *Clock) Precise() float64 {
 	return float64(time.Since(c.started).Nanoseconds()) / float64(time.Millisecond)
 }
--- a/kernel/clock/clock_test.go
+++ b/kernel/clock/clock_test.go
@@ -17,9 +17,7 @@
 	}
 }
 
-// The clock that counts suspensions costs a call of the system: 190 to 280 ns a reading, 35
-// for the language's own clock. Instances took 0.0131 of a core with it and 0.0138
-// without on a quiet day, one play each.
+// Measures one reading of Mono, which costs a system call.
 func BenchmarkMono(b *testing.B) {
 	c := New()
 	for b.Loop() {
