--- a/kernel/ident/ident.go
+++ b/kernel/ident/ident.go
@@ -1,4 +1,4 @@
-// Package ident holds the named types for ids and units that all packages share.
+// Package ident defines the types of the identifiers and units that all packages share.
 package ident
 
 import (
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// Ids.
+// Identifiers.
 type (
-	// RequestID names one request of a caller; repeats carry the same id.
+	// RequestID identifies one request of a caller; its retries carry the same id.
 	RequestID string
-	// InstanceName names one entry instance.
+	// InstanceName names one start of an instance; see NewInstance.
 	InstanceName string
-	// BackendName names one start of a backend server, its incarnation: one that starts
-	// again holds and knows nothing of before, and must not pass for the old. All that
-	// is believed of a server is kept by this name, so that it ends with the server.
+	// BackendName names one start of a backend server, its incarnation. A restarted server has
+	// lost its state, so all that is known of a server is stored under this name and expires
+	// with that start.
 	BackendName string
 	// Zone names an availability zone.
 	Zone string
@@ -31,19 +31,20 @@
 	Class string
 	// Stream names a stream of the platform's log.
 	Stream string
-	// RecordID names one appended record across lost answers.
+	// RecordID identifies one appended record; a writer whose append ended without a response
+	// recognises its record by it.
 	RecordID string
 	// Job names a batch job.
 	Job string
-	// Item names one item of a batch job; a later job may bring it back.
+	// Item names one item of a batch job; a later job may contain the same item.
 	Item string
 	// Group names the items of a job that share a prompt.
 	Group string
-	// Model names a model whose weights change by versions.
+	// Model names a model with versioned weights.
 	Model string
-	// Organisation names a customer of the platform; keys belong to one.
+	// Organisation names a customer of the platform. Each Key belongs to one.
 	Organisation string
-	// Key is a secret by which a caller shows whose request it is.
+	// Key is the secret by which a caller authenticates its requests.
 	Key string
 )
 
@@ -51,19 +52,20 @@
 type (
 	// Offset is a position in a stream of the platform's log; the first record has offset 1.
 	Offset int64
-	// Revision is the offset of the record that made a configuration; 0 is none.
+	// Revision identifies a configuration by the offset of the record that created it; 0 is
+	// none.
 	Revision int64
 	// Version counts the weights that a trainer has published; 0 is none.
 	Version int64
 	// Step counts a trainer's steps.
 	Step int64
-	// Window numbers the spans of true time for which use is reported.
+	// Window numbers the spans of wall-clock time for which usage is reported.
 	Window int64
 	// Slot is the index of a sample within a step.
 	Slot int32
 	// Tokens counts generated tokens.
 	Tokens int32
-	// Fence is a fencing number; a backend server that checks refuses lower ones.
+	// Fence is a fencing token; a backend server that checks it refuses lower ones.
 	Fence int64
 	// Address is an IP address and port.
 	Address string
@@ -77,29 +79,29 @@
 	incarnationDigits    = 8
 )
 
-// String keeps keys out of logs and messages.
+// String returns a placeholder, which keeps keys out of logs and messages.
 func (Key) String() string { return "(key)" }
 
-// NewRandom returns a fresh random id in hexadecimal.
+// NewRandom returns a new random id in hexadecimal.
 func NewRandom() string {
 	var raw [randomBytes]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// NewInstance returns the name of one life of the instance that the settings
-// name: a restarted instance remembers nothing and must not pass for the old.
+// NewInstance returns the name of one start of the instance that the settings name. A
+// restarted instance has lost its state and must not be taken for the earlier one.
 func NewInstance(name string) InstanceName {
 	return InstanceName(name + incarnationSeparator + NewRandom()[:incarnationDigits])
 }
 
-// ListName returns the name under which the platform lists the instance.
+// ListName returns the instance's name in the platform's list, which all its starts share.
 func (n InstanceName) ListName() string { return trimIncarnation(string(n)) }
 
-// NewBackend returns the name of one start of a backend server. Born tells the starts
-// apart; it is when the server started by its own clock, which may go back, so that
-// names say which starts are the same and not which came first. 0 is a server that
-// does not tell: it has the same name always.
+// NewBackend returns the name of one start of a backend server. startedAt is the server's
+// start time in Unix milliseconds by its own clock, which may go back: two names show whether
+// two starts are the same, but not which came first. If the server does not report its start
+// time, startedAt is 0 and all its starts have the same name.
 func NewBackend(name string, startedAt int64) BackendName {
 	if startedAt == 0 {
 		return BackendName(name)
@@ -107,15 +109,15 @@
 	return BackendName(name + incarnationSeparator + strconv.FormatInt(startedAt, startTimeBase))
 }
 
-// startTimeBase keeps names short: a time in Unix milliseconds has eight digits.
+// startTimeBase is the base of the digits of a start time in a name. A high base keeps names
+// short.
 const startTimeBase = 36
 
-// ListName returns the name under which the platform lists the backend server, which
-// may be that of its other starts as well.
+// ListName returns the server's name in the platform's list, which all its starts share.
 func (n BackendName) ListName() string { return trimIncarnation(string(n)) }
 
-// OtherStart returns the name of the start that a server tells of, and whether that is
-// another one than the named one. If either does not tell, it is not known to be.
+// OtherStart returns the name of the start that a server reports, and whether it is known to
+// differ from n. It is not known to if n or the report lacks a start time.
 func (n BackendName) OtherStart(startedAt int64) (other BackendName, differs bool) {
 	other = NewBackend(n.ListName(), startedAt)
 	return other, startedAt != 0 && other != n && n.ListName() != string(n)
@@ -128,8 +130,8 @@
 	return name
 }
 
-// Hash returns a stable 64-bit hash of the parts, with a finaliser so that
-// similar names give unrelated values.
+// Hash returns a stable 64-bit hash of the parts. A finaliser mixes the bits, so that similar
+// parts give unrelated values.
 func Hash(parts ...string) uint64 {
 	sum := fnv.New64a()
 	for _, part := range parts {
--- a/kernel/ident/ident_test.go
+++ b/kernel/ident/ident_test.go
@@ -8,7 +8,7 @@
 		t.Errorf("starts %s and %s, want two of i-1", first, second)
 	}
 	if unreported := NewBackend("i-1", 0); unreported.ListName() != string(unreported) {
-		t.Errorf("%s is listed as %s", unreported, unreported.ListName())
+		t.Errorf("%s has the list name %s", unreported, unreported.ListName())
 	}
 	cases := []struct {
 		name     BackendName
@@ -19,7 +19,7 @@
 	}
 	for _, c := range cases {
 		if other, is := c.name.OtherStart(c.reported); is != c.other {
-			t.Errorf("%s, told %d: another start %v (%s), want %v", c.name, c.reported, is, other, c.other)
+			t.Errorf("%s, reported start %d: differs %v (%s), want %v", c.name, c.reported, is, other, c.other)
 		}
 	}
 }
