--- a/kernel/strict/strict.go
+++ b/kernel/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads JSON files whole: an unknown, repeated, missing or
-// mistyped field is a problem that names its path, the value and what is allowed.
+// Package strict parses JSON objects strictly: an unknown, repeated, missing or mistyped field
+// is a problem that names its path, its value and what is allowed.
 package strict
 
 import (
@@ -23,7 +23,8 @@
 	Invalid Kind = "Invalid"
 )
 
-// Problem is one refused field.
+// Problem is one refused field. Path is its JSON path, such as $.Team; Value is its value or
+// what is wrong with it.
 type Problem struct {
 	Path    string
 	Value   string
@@ -35,7 +36,8 @@
 	list []Problem
 }
 
-// Object is a JSON object that is being read; fields not asked for are problems.
+// Object is a JSON object that is being read. RefuseUnknown refuses the fields that were not
+// requested.
 type Object struct {
 	problems  *Problems
 	path      string
@@ -43,7 +45,8 @@
 	requested map[string]bool
 }
 
-// Parse reads data as one JSON object.
+// Parse reads data as one JSON object. Invalid JSON is a Syntax error; a JSON value that is
+// not an object is a problem.
 func Parse(data []byte) (*Problems, *Object, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	var raw json.RawMessage
@@ -62,7 +65,7 @@
 	p.list = append(p.list, Problem{Path: path, Value: value, Allowed: allowed})
 }
 
-// Err returns an error that lists all problems, or nil.
+// Err returns an Invalid error of operation op that lists all problems, or nil.
 func (r *Problems) Err(op string) error {
 	if len(r.list) == 0 {
 		return nil
@@ -100,24 +103,25 @@
 	return object
 }
 
-// Path returns the path of a field for problems that a caller finds.
+// Path returns the path of a field, for problems that a caller adds.
 func (o *Object) Path(name string) string {
 	return o.path + "." + name
 }
 
-// Has tells whether the field is present.
+// Has reports whether the field is present.
 func (o *Object) Has(name string) bool {
 	_, ok := o.fields[name]
 	return ok
 }
 
+// lookup returns a field and marks it as requested.
 func (o *Object) lookup(name string) (json.RawMessage, bool) {
 	o.requested[name] = true
 	raw, ok := o.fields[name]
 	return raw, ok
 }
 
-// String reads a text field. A required one must be present and not empty.
+// String reads a string; an absent one is "". A required one must be present and not empty.
 func (o *Object) String(name string, required bool) string {
 	raw, ok := o.lookup(name)
 	if !ok {
@@ -133,7 +137,8 @@
 	return value
 }
 
-// Choice reads a text field that must be one of allowed; absent, it is fallback.
+// Choice reads a string that must be one of allowed. An absent one is fallback; without a
+// fallback the field is required.
 func (o *Object) Choice(name, fallback string, allowed ...string) string {
 	if !o.Has(name) && fallback != "" {
 		return fallback
@@ -145,7 +150,7 @@
 	return value
 }
 
-// Int reads a whole number between low and high; absent, it is fallback.
+// Int reads an integer from low to high, both included; an absent one is fallback.
 func (o *Object) Int(name string, fallback, low, high int64) int64 {
 	raw, ok := o.lookup(name)
 	if !ok {
@@ -159,7 +164,7 @@
 	return value
 }
 
-// Float reads a number between low and high; absent, it is fallback.
+// Float reads a number from low to high, both included; an absent one is fallback.
 func (o *Object) Float(name string, fallback, low, high float64) float64 {
 	raw, ok := o.lookup(name)
 	if !ok {
@@ -173,7 +178,7 @@
 	return value
 }
 
-// Bool reads true or false; absent, it is fallback.
+// Bool reads a boolean; an absent one is fallback.
 func (o *Object) Bool(name string, fallback bool) bool {
 	raw, ok := o.lookup(name)
 	if !ok {
@@ -186,7 +191,7 @@
 	return value
 }
 
-// Object reads an object field; an absent one is empty.
+// Object reads an object; an absent one is empty.
 func (o *Object) Object(name string) *Object {
 	raw, ok := o.lookup(name)
 	if !ok {
@@ -213,7 +218,7 @@
 	return objects
 }
 
-// RefuseUnknown refuses the fields that were not read.
+// RefuseUnknown adds a problem for each field that was not requested.
 func (o *Object) RefuseUnknown() {
 	known := make([]string, 0, len(o.requested))
 	for name := range o.requested {
@@ -227,7 +232,7 @@
 	}
 }
 
-// maxShownBytes is how much of a refused value is shown.
+// maxShownBytes bounds how much of a refused value a problem shows.
 const maxShownBytes = 60
 
 func truncate(raw json.RawMessage) string {
@@ -238,7 +243,7 @@
 	return text
 }
 
-// Strings reads a list of texts; an absent one is empty.
+// Strings reads a list of strings; an absent one is empty.
 func (o *Object) Strings(name string) []string {
 	raw, ok := o.lookup(name)
 	if !ok {
