--- a/kernel/clock/clock.go
+++ b/kernel/clock/clock.go
@@ -49,8 +49,8 @@
 
 // New returns the system clock.
 func New() *Clock {
-	booted, _ := hostUptime()
-	return &Clock{started: time.Now(), uptimeAtStart: booted}
+	uptime, _ := hostUptime()
+	return &Clock{started: time.Now(), uptimeAtStart: uptime}
 }
 
 // NewManual returns a clock that moves only when Advance is called.
--- a/kernel/httpc/httpc.go
+++ b/kernel/httpc/httpc.go
@@ -97,10 +97,10 @@
 type Client struct {
 	DialTimeout clock.Millis
 
-	mu     sync.Mutex
-	idle   map[ident.Address][]*link
-	clock  *clock.Clock
-	dialed int64
+	mu        sync.Mutex
+	idle      map[ident.Address][]*link
+	monoClock *clock.Clock
+	dialed    int64
 }
 
 // Dialed returns the number of connections opened so far.
@@ -120,10 +120,10 @@
 
 // now returns monotonic time. The caller holds mu.
 func (c *Client) now() clock.Millis {
-	if c.clock == nil {
-		c.clock = clock.New()
+	if c.monoClock == nil {
+		c.monoClock = clock.New()
 	}
-	return c.clock.Mono()
+	return c.monoClock.Mono()
 }
 
 // link is one connection with its read buffer. idleUntil is the monotonic time at which an
@@ -266,9 +266,9 @@
 }
 
 // wrapRetryError returns the error of a call that was sent a second time after its reused
-// connection broke. The kind is always Lost: the server may have run the call the first time.
-// A refused second connection does not rule that out, because a server that ended while it ran
-// the call refuses connections too.
+// connection broke; nil if the second attempt succeeded. The kind is always Lost, because the
+// server may have run the call the first time. A refused second connection does not rule that
+// out: a server that ended while it ran the call refuses connections too.
 func wrapRetryError(retryErr, firstErr error) error {
 	if retryErr == nil {
 		return nil
--- a/kernel/httpc/silent_test.go
+++ b/kernel/httpc/silent_test.go
@@ -48,13 +48,13 @@
 				_ = clientConn.Close()
 				continue
 			}
-			openedAt := s.silenced.Load()
+			generation := s.silenced.Load()
 			context.AfterFunc(ctx, func() {
 				_ = clientConn.Close()
 				_ = serverConn.Close()
 			})
-			group.Go(func() { s.copy(serverConn, clientConn, openedAt) })
-			group.Go(func() { s.copy(clientConn, serverConn, openedAt) })
+			group.Go(func() { s.copy(serverConn, clientConn, generation) })
+			group.Go(func() { s.copy(clientConn, serverConn, generation) })
 		}
 	})
 	return s
@@ -62,14 +62,14 @@
 
 // copy forwards bytes from a connection that was opened when silenced had the value
 // generation. It discards them once the connection is silenced.
-func (s *silencingProxy) copy(to io.Writer, from io.Reader, openedAt int64) {
+func (s *silencingProxy) copy(to io.Writer, from io.Reader, generation int64) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		if s.silenced.Load() != openedAt {
+		if s.silenced.Load() != generation {
 			continue
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
--- a/kernel/strict/strict.go
+++ b/kernel/strict/strict.go
@@ -66,12 +66,12 @@
 }
 
 // Err returns an Invalid error of operation op that lists all problems, or nil.
-func (r *Problems) Err(op string) error {
-	if len(r.list) == 0 {
+func (p *Problems) Err(op string) error {
+	if len(p.list) == 0 {
 		return nil
 	}
-	lines := make([]string, 0, len(r.list))
-	for _, problem := range r.list {
+	lines := make([]string, 0, len(p.list))
+	for _, problem := range p.list {
 		lines = append(lines, fmt.Sprintf("%s is %s; allowed: %s", problem.Path, problem.Value, problem.Allowed))
 	}
 	err := fault.New(op, Invalid, strings.Join(lines, "; "))
@@ -79,12 +79,12 @@
 	return err
 }
 
-func (r *Problems) readObject(path string, raw json.RawMessage) *Object {
-	object := &Object{problems: r, path: path, fields: map[string]json.RawMessage{}, requested: map[string]bool{}}
+func (p *Problems) readObject(path string, raw json.RawMessage) *Object {
+	object := &Object{problems: p, path: path, fields: map[string]json.RawMessage{}, requested: map[string]bool{}}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	open, err := decoder.Token()
 	if err != nil || open != json.Delim('{') {
-		r.Add(path, truncate(raw), "an object")
+		p.Add(path, truncate(raw), "an object")
 		return object
 	}
 	for decoder.More() {
@@ -92,11 +92,11 @@
 		name, _ := token.(string)
 		var value json.RawMessage
 		if err := decoder.Decode(&value); err != nil {
-			r.Add(path+"."+name, "unreadable", "a JSON value")
+			p.Add(path+"."+name, "unreadable", "a JSON value")
 			return object
 		}
 		if _, ok := object.fields[name]; ok {
-			r.Add(path+"."+name, "given twice", "one value")
+			p.Add(path+"."+name, "given twice", "one value")
 		}
 		object.fields[name] = value
 	}
