--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -112,8 +112,8 @@
 // Run follows the ledger's stream and sends heartbeats until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	tailer := &tail.Tailer{
-		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, Failed: l.readFailed,
-		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Hurry: l.readNow,
+		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, OnError: l.readFailed,
+		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Wake: l.readNow,
 	}
 	var group conc.WaitGroup
 	group.Go(func() { tailer.Run(ctx) })
@@ -151,8 +151,8 @@
 	}
 	l.state.UpToDate = l.caughtUp && now-l.lastResponse <= maxFreshAge
 	respondedAt := now
-	if batch.Told > 0 {
-		respondedAt = min(now, batch.Told)
+	if batch.CurrentAt > 0 {
+		respondedAt = min(now, batch.CurrentAt)
 	}
 	l.responded = true
 	l.lastResponse = respondedAt
--- a/croftmoor/ledger/ledger_test.go
+++ b/croftmoor/ledger/ledger_test.go
@@ -112,7 +112,7 @@
 	asked := l.Clock.Mono()
 	l.Clock.Advance(5700)
 	late := batch(2, 2)
-	late.Told = tail.Told(asked, l.Clock.Mono(), readWait)
+	late.CurrentAt = tail.CurrentAt(asked, l.Clock.Mono(), readWait)
 	l.apply(late)
 	if l.Fresh() {
 		t.Errorf("a response processed 5.7 s late made the state fresh; age %d ms", l.Age())
@@ -120,7 +120,7 @@
 	asked = l.Clock.Mono()
 	l.Clock.Advance(4)
 	next := batch(2, 2)
-	next.Told = tail.Told(asked, l.Clock.Mono(), readWait)
+	next.CurrentAt = tail.CurrentAt(asked, l.Clock.Mono(), readWait)
 	l.apply(next)
 	assertState(t, l, true, false)
 }
--- a/kernel/httpc/stream.go
+++ b/kernel/httpc/stream.go
@@ -11,19 +11,18 @@
 	"croftmoor.dev/kernel/fault"
 )
 
-// Stream is an answer whose body is read as it comes. Close ends the call;
-// the backend server sees its connection close unless the answer was whole.
+// Stream is a response whose body is read as it arrives. Close must be called.
 type Stream struct {
 	Status  int
 	Headers []Header
 	Body    *bufio.Reader
 
-	client *Client
-	call   *Call
-	link   *link
-	stop   func() bool
-	head   fasthttp.ResponseHeader
-	whole  bool
+	client   *Client
+	call     *Call
+	link     *link
+	stop     func() bool
+	head     fasthttp.ResponseHeader
+	complete bool
 }
 
 // Header returns the named header's value, or "".
@@ -31,10 +30,11 @@
 	return (&Answer{Headers: s.Headers}).Header(name)
 }
 
-// Open sends call and returns once the answer's header is there. Like Do, it
-// sends once more on a fresh connection if a reused one was dead.
+// Open sends a call and returns once the response header has arrived. ctx bounds the stream
+// until Close. Like Do, Open sends the call once more on a new connection if a reused one
+// fails.
 func (c *Client) Open(ctx context.Context, call *Call) (*Stream, error) {
-	l, reused, err := c.take(ctx, call)
+	l, reused, err := c.acquire(ctx, call)
 	if err != nil {
 		return nil, err
 	}
@@ -43,13 +43,13 @@
 		return stream, err
 	}
 	if ctx.Err() != nil {
-		c.distrust(ctx, call.Address)
+		c.closeIdleOnTimeout(ctx, call.Address)
 		return stream, err
 	}
-	fresh := *call
-	fresh.Fresh = true
-	again, failure := c.Open(ctx, &fresh)
-	return again, afterBroken(failure, err)
+	retry := *call
+	retry.FreshConn = true
+	retried, retryErr := c.Open(ctx, &retry)
+	return retried, wrapRetryError(retryErr, err)
 }
 
 func (c *Client) open(ctx context.Context, call *Call, l *link) (*Stream, error) {
@@ -61,31 +61,30 @@
 	}
 	if err := stream.head.Read(l.reader); err != nil {
 		stream.Close()
-		return nil, lost(call, err)
+		return nil, lostError(call, err)
 	}
 	stream.Status = stream.head.StatusCode()
 	stream.Headers = headers(&stream.head)
 	if call.Accept != nil && !call.Accept(&Answer{Status: stream.Status, Headers: stream.Headers}) {
 		stream.Close()
-		return nil, fault.New("httpc.Open", Lost, string(call.Address)+" sent the answer of another call")
+		return nil, fault.New("httpc.Open", Lost, string(call.Address)+" sent a response that belongs to another call")
 	}
 	stream.Body = bufio.NewReader(stream.body())
 	return stream, nil
 }
 
-// untilClose is fasthttp's length of a body that ends with its connection.
+// untilClose is fasthttp's content length of a body that ends when its connection closes.
 const untilClose = -2
 
-// body returns a reader of the body whose end is io.EOF only if the body is
-// whole: fasthttp's own takes a connection that closes between two chunks for
-// the end of the body.
+// body returns a reader that reaches io.EOF only if the body is complete or has no length.
+// fasthttp's own reader also returns io.EOF if the connection closes between two chunks.
 func (s *Stream) body() io.Reader {
 	length := s.head.ContentLength()
 	switch {
 	case length == untilClose:
 		return s.link.reader
 	case length >= 0:
-		return &exactReader{reader: s.link.reader, left: length}
+		return &exactReader{reader: s.link.reader, remaining: length}
 	default:
 		return httputil.NewChunkedReader(s.link.reader)
 	}
@@ -93,28 +92,28 @@
 
 // exactReader reads a body of a known length.
 type exactReader struct {
-	reader io.Reader
-	left   int
+	reader    io.Reader
+	remaining int
 }
 
 // Read returns io.ErrUnexpectedEOF if the connection ends before the body does.
 func (r *exactReader) Read(p []byte) (int, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := r.reader.Read(p[:min(len(p), r.left)])
-	r.left -= n
-	if err == io.EOF && r.left > 0 {
+	n, err := r.reader.Read(p[:min(len(p), r.remaining)])
+	r.remaining -= n
+	if err == io.EOF && r.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// trailerEnd ends a chunked body; the reader of chunks leaves it.
+// trailerEnd ends a chunked body. The reader of httputil does not consume it.
 const trailerEnd = "\r\n"
 
-// reusable tells whether the connection stands at the beginning of the next
-// answer.
+// reusable reports whether the connection's next byte begins the next response, provided that
+// the body was read to its end. It consumes the end of a chunked body.
 func (s *Stream) reusable() bool {
 	switch length := s.head.ContentLength(); {
 	case length == untilClose:
@@ -126,16 +125,17 @@
 	return err == nil && line == trailerEnd
 }
 
-// Whole tells that the body was read to its proper end, so that its connection
-// may be used again.
-func (s *Stream) Whole() {
-	s.whole = true
+// MarkComplete records that the body was read to its end, so that Close may keep the
+// connection for reuse.
+func (s *Stream) MarkComplete() {
+	s.complete = true
 }
 
-// Close ends the call.
+// Close ends the call. It keeps the connection for reuse if the body was read to its end, and
+// closes it otherwise.
 func (s *Stream) Close() {
-	if s.whole && !s.call.Fresh && s.reusable() && s.stop() {
-		s.client.put(s.call.Address, s.link, rest(&s.head))
+	if s.complete && !s.call.FreshConn && s.reusable() && s.stop() {
+		s.client.putIdle(s.call.Address, s.link, idleTimeout(&s.head))
 		return
 	}
 	s.stop()
--- a/kernel/tail/writer_test.go
+++ b/kernel/tail/writer_test.go
@@ -13,21 +13,20 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// fakeLog takes appends by the published rules of tickets, and misbehaves as
-// told: it may lose the answer of an append that it made, or refuse.
+// fakeLog applies each ticket once. It can refuse an append, or lose its call or its response.
 type fakeLog struct {
 	mu      sync.Mutex
 	records []string
 	answers map[Ticket]ident.Offset
 	calls   int
-	// outcome tells what befalls the nth call.
-	outcome func(call int) fate
+	// failureOf returns the failure of the nth call.
+	failureOf func(call int) failure
 }
 
-type fate int
+type failure int
 
 const (
-	fine fate = iota
+	noFailure failure = iota
 	refused
 	answerLost
 	callLost
@@ -37,7 +36,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	f := l.outcome(l.calls)
+	f := l.failureOf(l.calls)
 	if f == refused {
 		return 0, fault.New("fake", Refused, "busy")
 	}
@@ -75,14 +74,14 @@
 		cancel()
 		group.Wait()
 	})
-	for w.lane("s") == nil {
+	for w.queue("s") == nil {
 		time.Sleep(time.Millisecond)
 	}
 	return w
 }
 
-// writeMany appends from several goroutines and checks that each record lies
-// once, at the offset that its writer was told.
+// writeMany appends from several goroutines and checks that each record is stored once, at the
+// offset that its writer got.
 func writeMany(t *testing.T, w *Writer, log *fakeLog) {
 	t.Helper()
 	const writers = 20
@@ -103,16 +102,16 @@
 }
 
 func TestWriter(t *testing.T) {
-	faults := map[string]func(int) fate{
-		"a log that works":                    func(int) fate { return fine },
-		"answers that are lost":               func(n int) fate { return map[bool]fate{true: answerLost, false: fine}[n%2 == 1] },
-		"calls that are lost":                 func(n int) fate { return map[bool]fate{true: callLost, false: fine}[n%2 == 1] },
-		"refusals":                            func(n int) fate { return map[bool]fate{true: refused, false: fine}[n%2 == 1] },
-		"a lost answer, a refusal, a success": func(n int) fate { return []fate{fine, answerLost, refused}[n%3] },
+	failures := map[string]func(int) failure{
+		"a log that works":                    func(int) failure { return noFailure },
+		"answers that are lost":               func(n int) failure { return map[bool]failure{true: answerLost, false: noFailure}[n%2 == 1] },
+		"calls that are lost":                 func(n int) failure { return map[bool]failure{true: callLost, false: noFailure}[n%2 == 1] },
+		"refusals":                            func(n int) failure { return map[bool]failure{true: refused, false: noFailure}[n%2 == 1] },
+		"a lost answer, a refusal, a success": func(n int) failure { return []failure{noFailure, answerLost, refused}[n%3] },
 	}
-	for name, outcome := range faults {
+	for name, failureOf := range failures {
 		t.Run(name, func(t *testing.T) {
-			log := &fakeLog{outcome: outcome}
+			log := &fakeLog{failureOf: failureOf}
 			writeMany(t, runWriter(t, log), log)
 		})
 	}
@@ -128,7 +127,7 @@
 
 func TestWriterGivesUp(t *testing.T) {
 	t.Run("refused means that the log never gets it", func(t *testing.T) {
-		log := &fakeLog{outcome: func(n int) fate { return map[bool]fate{true: refused, false: fine}[n < 8] }}
+		log := &fakeLog{failureOf: func(n int) failure { return map[bool]failure{true: refused, false: noFailure}[n < 8] }}
 		w := runWriter(t, log)
 		if kind := writeBriefly(t, w); kind != Refused {
 			t.Fatalf("kind %q, want Refused", kind)
@@ -137,21 +136,20 @@
 			t.Fatal(err)
 		}
 		if len(log.records) != 1 || log.records[0] != "y" {
-			t.Errorf("records %v: what was said to be refused was appended", log.records)
+			t.Errorf("records %v: a record reported as refused was appended", log.records)
 		}
 	})
 	t.Run("without a word it may have", func(t *testing.T) {
-		log := &fakeLog{outcome: func(int) fate { return answerLost }}
+		log := &fakeLog{failureOf: func(int) failure { return answerLost }}
 		if kind := writeBriefly(t, runWriter(t, log)); kind != Unknown {
 			t.Errorf("kind %q, want Unknown", kind)
 		}
 	})
 }
 
-// A log that resets each connection at once must not be asked again without a pause:
-// 48 instances made 35,000 appends a second so.
+// Guards against retries without a delay to a log that resets each connection at once.
 func TestResetAppendsPause(t *testing.T) {
-	log := &fakeLog{outcome: func(int) fate { return callLost }}
+	log := &fakeLog{failureOf: func(int) failure { return callLost }}
 	w := runWriter(t, log)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
