--- a/croftmoor/feed/try.go
+++ b/croftmoor/feed/try.go
@@ -92,7 +92,7 @@
 	b := t.book
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return t.step.ledger.Progress(t.attempt, t.tokens, sample.Oldest())
+	return t.step.ledger.RecordProgress(t.attempt, t.tokens, sample.Oldest())
 }
 
 // move tells whether the rest of the sample is expected sooner on another
--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -93,13 +93,13 @@
 	steadySince clock.Millis
 	// gapSeenAt is when records were last found missing because the log had dropped them
 	// before they were read; it is valid if gapSeen is set.
-	gapSeenAt     clock.Millis
-	gapSeen       bool
-	responded     bool
-	caughtUp      bool
-	unreachable   bool
-	lastHeartbeat clock.Millis
-	leaving       bool
+	gapSeenAt      clock.Millis
+	gapSeen        bool
+	responded      bool
+	caughtUp       bool
+	unreachable    bool
+	lastSignOfLife clock.Millis
+	leaving        bool
 }
 
 // Setup initialises the ledger. Call it before Run.
@@ -263,16 +263,16 @@
 // and the errors.
 func (l *Ledger) Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error) {
 	data := make([][]byte, 0, len(records))
-	signOfLife := false
+	hasSignOfLife := false
 	for _, r := range records {
 		data = append(data, jobs.Encode(r))
-		signOfLife = signOfLife || jobs.IsSignOfLife(r)
+		hasSignOfLife = hasSignOfLife || jobs.IsSignOfLife(r)
 	}
 	sentAt := l.Clock.Mono()
 	offset, err := l.Writer.Write(ctx, Stream, data...)
-	if err == nil && signOfLife {
+	if err == nil && hasSignOfLife {
 		l.mu.Lock()
-		l.lastHeartbeat = max(l.lastHeartbeat, sentAt)
+		l.lastSignOfLife = max(l.lastSignOfLife, sentAt)
 		l.mu.Unlock()
 	}
 	return offset, err
@@ -355,7 +355,7 @@
 func (l *Ledger) Heard() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.Clock.Mono() - l.lastHeartbeat
+	return l.Clock.Mono() - l.lastSignOfLife
 }
 
 // Since returns the earliest time of a last sign of life at which a member counts as
@@ -375,7 +375,7 @@
 	for {
 		changed := l.Changed()
 		reached := false
-		l.View(func(b *jobs.State) { reached = b.Next >= next })
+		l.View(func(s *jobs.State) { reached = s.Next >= next })
 		if reached {
 			return nil
 		}
--- a/kernel/jobs/jobs_test.go
+++ b/kernel/jobs/jobs_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-func accept(job ident.Job, least ident.Version, items ...ident.Item) Accept {
-	a := Accept{Job: job, Host: "h", Prefix: "/p/", Service: "s", Model: "m", MinVersion: least, WantedGroups: 1}
+func accept(job ident.Job, minVersion ident.Version, items ...ident.Item) Accept {
+	a := Accept{Job: job, Host: "h", Prefix: "/p/", Service: "s", Model: "m", MinVersion: minVersion, WantedGroups: 1}
 	for _, id := range items {
 		a.Items = append(a.Items, ItemSpec{ID: id, Group: "g", Expect: 100, Body: Span{Stream: "bodies.1", First: 3, Count: 1}})
 	}
@@ -38,14 +38,14 @@
 
 func TestCodec(t *testing.T) {
 	partial := Partial{Texts: []Span{{Stream: "texts.2", First: 9, Count: 2}}, Events: 7, Versions: []ident.Version{1, 2}, Complete: true}
-	speed := Timing{Engine: "e", Events: 7, Millis: 300}
+	timing := Timing{Engine: "e", Events: 7, Millis: 300}
 	records := []Record{
 		accept("j", 2, "a", "b"),
 		Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 1, Replaces: 4}}},
 		Claim{Job: "j", By: "i", Engine: "e", Targets: []Target{{Index: 2}}, Dealer: "d"},
-		Yield{Job: "j", By: "i", Index: 1, Partial: partial, Failed: true, Timing: speed},
+		Yield{Job: "j", By: "i", Index: 1, Partial: partial, Failed: true, Timing: timing},
 		SavePartial{Job: "j", By: "i", Index: 1, Partial: partial},
-		Finish{Job: "j", By: "i", Index: 1, Outcome: Completed, Versions: []ident.Version{3}, Score: "s", Texts: partial.Texts, Events: 7, Timing: speed},
+		Finish{Job: "j", By: "i", Index: 1, Outcome: Completed, Versions: []ident.Version{3}, Score: "s", Texts: partial.Texts, Events: 7, Timing: timing},
 		End{Job: "j"}, Heartbeat{By: "i", Zone: "z", Leaving: true, Address: "1.2.3.4:5"},
 		Hold{Role: "r", By: "i", Replaces: 5}, LoadOrder{Role: "r", Fence: 5, Engine: "e", Model: "m", Version: 6},
 		Loaded{Engine: "e", Model: "m", Version: 6}, Avoid{By: "i", Engine: "e", Millis: 7}, Defer{Job: "j", By: "i", Index: 2, Millis: 7},
@@ -127,13 +127,13 @@
 func TestBrought(t *testing.T) {
 	kept := Partial{Texts: []Span{{Stream: "t", First: 1, Count: 1}}, Events: 4, Versions: []ident.Version{2}}
 	cases := []struct {
-		name  string
-		least ident.Version
-		want  int
+		name       string
+		minVersion ident.Version
+		want       int
 	}{{"a text of fitting versions is taken over", 2, 4}, {"one that is too old is not", 3, 0}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := fold(accept("j", 1, "a"), SavePartial{Job: "j", Partial: kept}, End{Job: "j"}, accept("k", c.least, "a"))
+			b := fold(accept("j", 1, "a"), SavePartial{Job: "j", Partial: kept}, End{Job: "j"}, accept("k", c.minVersion, "a"))
 			item := b.Jobs["k"].Items[0]
 			if !item.CarriedOver || item.Partial.Events != c.want {
 				t.Errorf("carried over %v with %d events, want %d", item.CarriedOver, item.Partial.Events, c.want)
--- a/kernel/jobs/state.go
+++ b/kernel/jobs/state.go
@@ -200,7 +200,7 @@
 	case Avoid:
 		s.avoid(r, now)
 	case Defer:
-		s.defers(r, now)
+		s.deferItem(r, now)
 	}
 }
 
@@ -320,9 +320,9 @@
 	}
 }
 
-// defers blocks an item on all engines for the record's duration. Records from the
+// deferItem blocks an item on all engines for the record's duration. Records from the
 // backlog are ignored, since their duration is over or nearly so.
-func (s *State) defers(d Defer, now clock.Millis) {
+func (s *State) deferItem(d Defer, now clock.Millis) {
 	s.markHeard(d.By, now)
 	if _, item := s.unfinishedItem(d.Job, d.Index); item != nil && s.UpToDate {
 		item.DeferredUntil = max(item.DeferredUntil, now+clock.Millis(d.Millis))
--- a/kernel/steps/steps_test.go
+++ b/kernel/steps/steps_test.go
@@ -130,11 +130,11 @@
 	t.Run("an attempt that gets too old is given up early", func(t *testing.T) {
 		l := New(spec(), Set{}, zeroLength, byLength(t))
 		a, _ := l.Next()
-		if !l.Progress(a, 3, 1) {
+		if !l.RecordProgress(a, 3, 1) {
 			t.Fatal("attempt cancelled within the staleness bound")
 		}
 		l.ObserveVersion(3)
-		if l.Progress(a, 4, 1) || l.Waste.Stale == 0 {
+		if l.RecordProgress(a, 4, 1) || l.Waste.Stale == 0 {
 			t.Fatal("attempt kept beyond the staleness bound, or its tokens not counted as waste")
 		}
 	})
