--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -26,7 +26,7 @@
 	// its roles.
 	DeadAfter = 2500 * clock.Millis(1)
 	// QuietAfter is the shortest silence after which other instances may claim the items of
-	// an instance: three heartbeats are overdue. A shorter time repeats runs of live
+	// an instance: about three heartbeats are overdue. A shorter time repeats runs of live
 	// instances, a longer one delays the step.
 	QuietAfter = 1200 * clock.Millis(1)
 	// readWait is how long a read waits for new records, and so the longest time between
@@ -136,6 +136,8 @@
 	return clock.Millis(float64(live) * float64(clock.Second) / max(perSecond, 1))
 }
 
+// apply folds a batch of records and updates the times that tell how current the state
+// is. The pause since the previous response must be evaluated before lastResponse is set.
 func (l *Ledger) apply(batch tail.Batch) {
 	now := l.Clock.Mono()
 	l.mu.Lock()
--- a/croftmoor/work/codec.go
+++ b/croftmoor/work/codec.go
@@ -57,11 +57,12 @@
 	return out.Bytes(), nil
 }
 
-// Decode parses what Encode returned.
+// Decode parses what Encode returned. Its error text appears in decision lines, which
+// operators' tools parse.
 func Decode(data []byte) (Item, error) {
 	var pack itemPack
 	if err := msgpack.Unmarshal(data, &pack); err != nil {
-		return Item{}, fault.Wrap("work.Decode", Corrupt, err, "cannot decode stored item")
+		return Item{}, fault.Wrap("work.Decode", Corrupt, err, "the kept item is unreadable")
 	}
 	item := Item{
 		ID: ident.Item(pack.ID), Group: ident.Group(pack.Group), Expect: ident.Tokens(pack.Expect),
--- a/croftmoor/work/work.go
+++ b/croftmoor/work/work.go
@@ -35,8 +35,9 @@
 	Body    []byte
 	// Reward is nil if the text is not scored.
 	Reward *Reward
-	// Organisation owns the item. Priority is its rank; 0 comes first. Both come from the
-	// job and the configuration when the item runs, and are not stored with it.
+	// Organisation owns the item. Priority is its rank: lower numbers come first, from 0.
+	// Both come from the job and the configuration when the item runs, and are not stored
+	// with it.
 	Organisation ident.Organisation
 	Priority     int
 }
--- a/kernel/jobs/engine.go
+++ b/kernel/jobs/engine.go
@@ -5,8 +5,8 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// paceWeightEvents is the number of events at which one run counts as much as the
-// average so far.
+// paceWeightEvents sets how fast the average follows: a run of n events has the weight
+// n / (n + paceWeightEvents).
 const paceWeightEvents = 60
 
 func (s *State) updatePace(timing Timing) {
--- a/kernel/jobs/record.go
+++ b/kernel/jobs/record.go
@@ -1,7 +1,8 @@
 // Package jobs folds the records of a ledger into the state of batch jobs: accepted
 // jobs, claims, results, live instances and which instance may order weights. The order
-// of the records decides everything on which instances must agree. The package does no
-// I/O.
+// of the records decides everything on which instances must agree. Each instance is a
+// reader that folds the records itself; all times in the state are on its own clock. The
+// package does no I/O.
 package jobs
 
 import (
--- a/kernel/paths/paths.go
+++ b/kernel/paths/paths.go
@@ -52,7 +52,7 @@
 	Timeout clock.Millis
 	// Public requests need no API key.
 	Public bool
-	// Priority is the rank of the route's requests; 0 comes first.
+	// Priority is the rank of the route's requests: lower numbers come first, from 0.
 	Priority int
 	// LatencyObjective is the time within which callers want an answer; 0 means none.
 	LatencyObjective clock.Millis
--- a/kernel/steps/steps.go
+++ b/kernel/steps/steps.go
@@ -91,9 +91,9 @@
 	Prompt string
 }
 
-// Waste counts the generated tokens that no trainer received: of samples and attempts
-// that became too stale, of failed attempts, and of attempts that finished after they
-// became obsolete.
+// Waste counts the generated tokens that no trainer received. Stale counts those of
+// samples and attempts that became too stale, Failed those of failed attempts, and Late
+// those of attempts that finished after they became obsolete.
 type Waste struct {
 	Stale  ident.Tokens
 	Failed ident.Tokens
@@ -254,7 +254,7 @@
 
 // ObserveVersion records the newest version that the trainer has published and drops
 // ready samples that are now too stale, except those already handed over. Running
-// attempts are checked by Progress.
+// attempts are checked by RecordProgress.
 func (t *Tracker) ObserveVersion(version ident.Version) {
 	t.newestVersion = max(t.newestVersion, version)
 	for i := range t.slots {
