--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -26,7 +26,7 @@
 	// its roles.
 	DeadAfter = 2500 * clock.Millis(1)
 	// QuietAfter is the shortest silence after which other instances may claim the items of
-	// an instance: three heartbeats are overdue. A shorter time repeats runs of live
+	// an instance: about three heartbeats are overdue. A shorter time repeats runs of live
 	// instances, a longer one delays the step.
 	QuietAfter = 1200 * clock.Millis(1)
 	// readWait is how long a read waits for new records, and so the longest time between
@@ -93,13 +93,13 @@
 	steadySince clock.Millis
 	// gapSeenAt is when records were last found missing because the log had dropped them
 	// before they were read; it is valid if gapSeen is set.
-	gapSeenAt     clock.Millis
-	gapSeen       bool
-	responded     bool
-	caughtUp      bool
-	unreachable   bool
-	lastHeartbeat clock.Millis
-	leaving       bool
+	gapSeenAt      clock.Millis
+	gapSeen        bool
+	responded      bool
+	caughtUp       bool
+	unreachable    bool
+	lastSignOfLife clock.Millis
+	leaving        bool
 }
 
 // Setup initialises the ledger. Call it before Run.
@@ -136,6 +136,8 @@
 	return clock.Millis(float64(live) * float64(clock.Second) / max(perSecond, 1))
 }
 
+// apply folds a batch of records and updates the times that tell how current the state
+// is. The pause since the previous response must be evaluated before lastResponse is set.
 func (l *Ledger) apply(batch tail.Batch) {
 	now := l.Clock.Mono()
 	l.mu.Lock()
@@ -263,16 +265,16 @@
 // and the errors.
 func (l *Ledger) Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error) {
 	data := make([][]byte, 0, len(records))
-	signOfLife := false
+	hasSignOfLife := false
 	for _, r := range records {
 		data = append(data, jobs.Encode(r))
-		signOfLife = signOfLife || jobs.IsSignOfLife(r)
+		hasSignOfLife = hasSignOfLife || jobs.IsSignOfLife(r)
 	}
 	sentAt := l.Clock.Mono()
 	offset, err := l.Writer.Write(ctx, Stream, data...)
-	if err == nil && signOfLife {
+	if err == nil && hasSignOfLife {
 		l.mu.Lock()
-		l.lastHeartbeat = max(l.lastHeartbeat, sentAt)
+		l.lastSignOfLife = max(l.lastSignOfLife, sentAt)
 		l.mu.Unlock()
 	}
 	return offset, err
@@ -355,7 +357,7 @@
 func (l *Ledger) Heard() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.Clock.Mono() - l.lastHeartbeat
+	return l.Clock.Mono() - l.lastSignOfLife
 }
 
 // Since returns the earliest time of a last sign of life at which a member counts as
@@ -375,7 +377,7 @@
 	for {
 		changed := l.Changed()
 		reached := false
-		l.View(func(b *jobs.State) { reached = b.Next >= next })
+		l.View(func(s *jobs.State) { reached = s.Next >= next })
 		if reached {
 			return nil
 		}
