--- a/croftmoor/roster/roster_test.go
+++ b/croftmoor/roster/roster_test.go
@@ -29,8 +29,8 @@
 	return r, board
 }
 
-// followers returns posts of n members that follow the ledger.
-func followers(n int) []Posted {
+// followerPosts returns posts of n members that follow the ledger.
+func followerPosts(n int) []Posted {
 	posted := make([]Posted, 0, n)
 	for i := range n {
 		posted = append(posted, Posted{Offset: ident.Offset(i + 1), Member: elect.Member{
@@ -69,14 +69,14 @@
 	t.Run("an instance that started again follows at once", func(t *testing.T) {
 		r, _ := rosterOf("front-3~9")
 		r.MarkCurrent(r.Clock.Mono())
-		r.SetMembers(followers(elect.PerZone))
+		r.SetMembers(followerPosts(elect.PerZone))
 		if _, open := <-r.Elected(); open {
 			t.Error("it is not elected although its previous process is listed")
 		}
 	})
 	t.Run("an instance follows once, and says so", func(t *testing.T) {
 		r, board := rosterOf("front-x~1")
-		load(r, followers(elect.PerZone-1))
+		load(r, followerPosts(elect.PerZone-1))
 		wantElected(t, r, true)
 		wantElected(t, r, false)
 		r.post(t.Context())
@@ -86,12 +86,12 @@
 	})
 	t.Run("where enough follow it does not", func(t *testing.T) {
 		r, _ := rosterOf("front-x~1")
-		load(r, followers(elect.PerZone))
+		load(r, followerPosts(elect.PerZone))
 		wantElected(t, r, false)
 	})
 	t.Run("silence of followers is noticed", func(t *testing.T) {
 		r, _ := rosterOf("front-x~1")
-		load(r, followers(elect.PerZone))
+		load(r, followerPosts(elect.PerZone))
 		for name, m := range r.members {
 			m.Heard -= 4 * elect.FollowerPeriod
 			r.members[name] = m
@@ -100,7 +100,7 @@
 	})
 	t.Run("time in which the roster could not be read ages nobody", func(t *testing.T) {
 		r, _ := rosterOf("front-x~1")
-		load(r, followers(elect.PerZone))
+		load(r, followerPosts(elect.PerZone))
 		const outage = 20 * clock.Second
 		r.firstRead -= outage
 		r.lastRead -= outage
@@ -123,7 +123,7 @@
 
 func TestFollowers(t *testing.T) {
 	r, _ := rosterOf("front-0~2")
-	posted := followers(4)
+	posted := followerPosts(4)
 	posted[1].Leaving = true
 	posted[2].Zone = "y"
 	posted[3].Follows = false
--- a/kernel/guess/guess.go
+++ b/kernel/guess/guess.go
@@ -23,9 +23,9 @@
 // Estimator keeps a moving average of answer lengths for each family and for all prompts.
 // The zero value is ready to use; mu guards the fields.
 type Estimator struct {
-	mu       sync.Mutex
-	byFamily map[string]float64
-	mean     float64
+	mu          sync.Mutex
+	byFamily    map[string]float64
+	overallMean float64
 }
 
 // Family returns the prefix of a prompt that identifies its family.
@@ -45,7 +45,7 @@
 	}
 	family := Family(prompt)
 	l.byFamily[family] = movingAverage(l.byFamily[family], float64(length))
-	l.mean = movingAverage(l.mean, float64(length))
+	l.overallMean = movingAverage(l.overallMean, float64(length))
 }
 
 // Estimate returns the expected length of an answer: the mean of its family, else the
@@ -56,7 +56,7 @@
 	if mean, ok := l.byFamily[Family(prompt)]; ok {
 		return ident.Tokens(mean)
 	}
-	return ident.Tokens(l.mean)
+	return ident.Tokens(l.overallMean)
 }
 
 func movingAverage(mean, value float64) float64 {
--- a/kernel/poison/table.go
+++ b/kernel/poison/table.go
@@ -236,16 +236,16 @@
 	undecided := slices.Collect(maps.Keys(t.overThreshold))
 	explained := map[ident.BackendName]bool{}
 	for len(undecided) > 0 {
-		highest, unexplained := 0, map[Fingerprint]int{}
+		highest, unexplainedEnds := 0, map[Fingerprint]int{}
 		for _, request := range undecided {
-			unexplained[request] = t.unexplained(request, explained)
-			highest = max(highest, unexplained[request])
+			unexplainedEnds[request] = t.unexplained(request, explained)
+			highest = max(highest, unexplainedEnds[request])
 		}
 		if highest < Threshold {
 			return
 		}
-		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplained[request] < Threshold })
-		top := slices.DeleteFunc(slices.Clone(undecided), func(request Fingerprint) bool { return unexplained[request] < highest })
+		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplainedEnds[request] < Threshold })
+		top := slices.DeleteFunc(slices.Clone(undecided), func(request Fingerprint) bool { return unexplainedEnds[request] < highest })
 		for _, request := range top {
 			t.held[request] = hold{ambiguous: t.overlaps(request, top, explained)}
 		}
@@ -254,7 +254,7 @@
 				explained[server] = true
 			}
 		}
-		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplained[request] == highest })
+		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplainedEnds[request] == highest })
 	}
 }
 
--- a/kernel/poison/ways_test.go
+++ b/kernel/poison/ways_test.go
@@ -60,8 +60,8 @@
 }
 
 const (
-	loadStep = 20 * clock.Millis(1)
-	loadSpan = 60 * clock.Second
+	simStep     = 20 * clock.Millis(1)
+	simDuration = 60 * clock.Second
 	// restartTime is how long a server is down after it ended.
 	restartTime = 2500 * clock.Millis(1)
 )
@@ -99,34 +99,34 @@
 // ends its server and loses all requests there. Servers also end at random.
 type simulation struct {
 	workload
-	detector detector
-	random   *rand.Rand
-	now      clock.Millis
+	method detector
+	random *rand.Rand
+	now    clock.Millis
 	// up is when each server is available again; starts counts its restarts.
-	up     []clock.Millis
-	starts []int
-	runs   []running
-	fate   outcome
+	up      []clock.Millis
+	starts  []int
+	runs    []running
+	outcome outcome
 }
 
-func simulate(w workload, seed uint64, way detector) outcome {
-	l := &simulation{workload: w, detector: way, random: rand.New(rand.NewPCG(seed, 1)), up: make([]clock.Millis, w.servers), starts: make([]int, w.servers)}
-	for step := 0; l.now < loadSpan; step++ {
+func simulate(w workload, seed uint64, method detector) outcome {
+	l := &simulation{workload: w, method: method, random: rand.New(rand.NewPCG(seed, 1)), up: make([]clock.Millis, w.servers), starts: make([]int, w.servers)}
+	for step := 0; l.now < simDuration; step++ {
 		l.send(step)
 		l.finish(l.crashedServers())
-		l.now += loadStep
+		l.now += simStep
 	}
-	return l.fate
+	return l.outcome
 }
 
 // send starts the requests that arrive in a step.
 func (l *simulation) send(step int) {
 	if l.popular {
-		l.fate.innocentCalls++
+		l.outcome.innocentCalls++
 		l.start(innocent, 1)
 	}
 	if step%l.period == 0 {
-		l.fate.innocentCalls++
+		l.outcome.innocentCalls++
 		l.start(Fingerprint(fmt.Sprint("once", step)), 1)
 	}
 	if l.now%(2*clock.Second) == 0 {
@@ -137,9 +137,9 @@
 
 // start runs a request at a random server that is up, unless the request is held.
 func (l *simulation) start(request Fingerprint, tries int) {
-	if l.detector.held(request, l.now) {
+	if l.method.held(request, l.now) {
 		if request != harmful {
-			l.fate.refused++
+			l.outcome.refused++
 		}
 		return
 	}
@@ -161,7 +161,7 @@
 	for _, r := range l.runs {
 		if r.request == harmful && r.until <= l.now {
 			ends[r.server] = true
-			l.fate.crashes++
+			l.outcome.crashes++
 		}
 	}
 	if l.random.IntN(500) == 0 {
@@ -177,10 +177,10 @@
 	for _, r := range l.runs {
 		switch {
 		case ends[r.server]:
-			l.detector.ended(r.request, ident.NewBackend(fmt.Sprint(r.server), int64(l.starts[r.server]+1)), l.now)
+			l.method.ended(r.request, ident.NewBackend(fmt.Sprint(r.server), int64(l.starts[r.server]+1)), l.now)
 			lost = append(lost, r)
 		case r.until <= l.now:
-			l.detector.answered(r.request)
+			l.method.answered(r.request)
 		default:
 			going = append(going, r)
 		}
@@ -200,15 +200,15 @@
 // TestWays compares detection methods on the same simulations. It bounds both errors: servers
 // lost to the harmful request, and innocent calls that are refused.
 func TestWays(t *testing.T) {
-	const loads = 40
+	const seeds = 40
 	for name, w := range map[string]workload{"calls": calls, "items": items} {
-		t.Run(name, func(t *testing.T) { compare(t, w, loads) })
+		t.Run(name, func(t *testing.T) { compare(t, w, seeds) })
 	}
 }
 
-func compare(t *testing.T, w workload, loads int) {
+func compare(t *testing.T, w workload, seeds int) {
 	t.Helper()
-	ways := map[string]func() detector{
+	detectors := map[string]func() detector{
 		"three ends": func() detector { return &counting{ends: map[Fingerprint]map[ident.BackendName]bool{}, threshold: 3} },
 		"three ends without an answer": func() detector {
 			return &counting{ends: map[Fingerprint]map[ident.BackendName]bool{}, threshold: 3, clearedByAnswer: true}
@@ -222,20 +222,20 @@
 		"table": func() detector { return tableDetector{table: NewTable()} },
 	}
 	sums := map[string]outcome{}
-	for name, way := range ways {
+	for name, newDetector := range detectors {
 		var sum outcome
-		for seed := range uint64(loads) {
-			f := simulate(w, seed, way())
+		for seed := range uint64(seeds) {
+			f := simulate(w, seed, newDetector())
 			sum.crashes += f.crashes
 			sum.refused += f.refused
 			sum.innocentCalls += f.innocentCalls
 		}
 		sums[name] = sum
-		t.Logf("%-30s servers ended %.1f per simulation, innocent calls refused %d of %d", name, float64(sum.crashes)/float64(loads), sum.refused, sum.innocentCalls)
+		t.Logf("%-30s servers ended %.1f per simulation, innocent calls refused %d of %d", name, float64(sum.crashes)/float64(seeds), sum.refused, sum.innocentCalls)
 	}
 	table := sums["table"]
-	if table.crashes > loads*(Threshold+2) {
-		t.Errorf("the harmful request ended %d servers in %d simulations, want at most %d per simulation", table.crashes, loads, Threshold+2)
+	if table.crashes > seeds*(Threshold+2) {
+		t.Errorf("the harmful request ended %d servers in %d simulations, want at most %d per simulation", table.crashes, seeds, Threshold+2)
 	}
 	if table.refused*1000 > table.innocentCalls {
 		t.Errorf("%d of %d innocent calls were refused, want at most one in a thousand", table.refused, table.innocentCalls)
--- a/kernel/route/pace_test.go
+++ b/kernel/route/pace_test.go
@@ -40,7 +40,7 @@
 	now            clock.Millis
 	queue          timers
 	servers        []*simServer
-	candidates     [][]Candidate
+	lastKnown      [][]Candidate
 	reportedAt     [][]clock.Millis
 	late           int
 	calls          int
@@ -74,7 +74,7 @@
 		p.servers = append(p.servers, &simServer{slowdown: 1})
 	}
 	for range simInstances {
-		p.candidates = append(p.candidates, make([]Candidate, simServers))
+		p.lastKnown = append(p.lastKnown, make([]Candidate, simServers))
 		p.reportedAt = append(p.reportedAt, make([]clock.Millis, simServers))
 	}
 	p.changeSlowdowns()
@@ -109,7 +109,7 @@
 	p.calls++
 	candidates := make([]Candidate, simServers)
 	for i := range candidates {
-		c := p.candidates[instance][i]
+		c := p.lastKnown[instance][i]
 		c.Zone, c.Slots, c.Weight, c.Warm = "z", simSlots, 1, true
 		c.ReportAge = p.now - p.reportedAt[instance][i]
 		if p.ignoreSlowdown {
@@ -119,7 +119,7 @@
 	}
 	request := Request{Zone: "z", Work: simWorkMillis, ZoneLatency: 1, Live: true, LiveOnly: true}
 	chosen := balanced{}.Pick(request, candidates, p.random).Index
-	s, candidate, started := p.servers[chosen], &p.candidates[instance][chosen], p.now
+	s, candidate, started := p.servers[chosen], &p.lastKnown[instance][chosen], p.now
 	candidate.Own++
 	candidate.OwnLive++
 	serve := func() {
