--- a/croftmoor/roster/roster.go
+++ b/croftmoor/roster/roster.go
@@ -30,8 +30,8 @@
 	firstReadTimeout = 500 * clock.Millis(1)
 	// postTimeout is the timeout of a heartbeat post.
 	postTimeout = 2 * clock.Second
-	// allZonesInterval is N where one in N calls of Peers includes other availability
-	// zones, in case all peers in this one share a failure.
+	// Peers includes other availability zones if the monotonic time in milliseconds is a
+	// multiple of allZonesInterval, in case all peers in this zone share a failure.
 	allZonesInterval = 4
 	// maxPostShare is the share of the log's write rate that heartbeats of all instances
 	// may use together.
@@ -57,19 +57,19 @@
 
 	mu      sync.Mutex
 	members map[ident.InstanceName]listedMember
-	// hasRead reports whether the roster has been read. firstRead and lastRead are when
-	// it was first and last known to be current.
-	hasRead   bool
-	firstRead clock.Millis
-	// restarted reports whether a previous process of this instance was listed.
-	restarted bool
-	lastRead  clock.Millis
-	follows   bool
-	leaving   bool
+	// everCurrent is set by the first MarkCurrent. firstCurrent and lastCurrent are the
+	// times of the first and the last one.
+	everCurrent  bool
+	firstCurrent clock.Millis
+	// restarted is true if a previous process of this instance was listed.
+	restarted   bool
+	lastCurrent clock.Millis
+	follows     bool
+	leaving     bool
 	// elected is closed when this instance starts to follow the ledger.
 	elected chan struct{}
-	// read is closed when the roster is first read.
-	read chan struct{}
+	// membersSet is closed by the first SetMembers.
+	membersSet chan struct{}
 }
 
 // listedMember is a member with the offset of its last post.
@@ -87,7 +87,7 @@
 // Setup initialises the roster. It must be called before any other method.
 func (r *Roster) Setup() {
 	r.elected = make(chan struct{})
-	r.read = make(chan struct{})
+	r.membersSet = make(chan struct{})
 }
 
 // Run posts this instance periodically and evaluates whether it should follow the ledger,
@@ -95,7 +95,7 @@
 func (r *Roster) Run(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-r.read:
+	case <-r.membersSet:
 	case <-r.Clock.After(firstReadTimeout):
 	}
 	elected := r.elected
@@ -136,18 +136,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Mono()
-	if r.follows || r.leaving || !r.hasRead || now-r.lastRead > maxReadGap {
+	if r.follows || r.leaving || !r.everCurrent || now-r.lastCurrent > maxReadGap {
 		return false
 	}
-	if !r.restarted && now-r.firstRead < settleTime {
+	if !r.restarted && now-r.firstCurrent < settleTime {
 		return false
 	}
-	if !elect.Chosen(r.Self, r.list(), r.lastRead) {
+	if !elect.Chosen(r.Self, r.list(), r.lastCurrent) {
 		return false
 	}
 	r.follows = true
 	close(r.elected)
-	r.Log.Info().Int("Members", len(r.members)).Int64("AgeMillis", int64(now-r.lastRead)).Bool("Again", r.restarted).Msg("elected to follow the ledger")
+	r.Log.Info().Int("Members", len(r.members)).Int64("AgeMillis", int64(now-r.lastCurrent)).Bool("Again", r.restarted).Msg("elected to follow the ledger")
 	return true
 }
 
@@ -203,16 +203,16 @@
 func (r *Roster) MarkCurrent(now clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if gap := now - r.lastRead; r.hasRead && gap > maxReadGap {
+	if gap := now - r.lastCurrent; r.everCurrent && gap > maxReadGap {
 		for name, m := range r.members {
 			m.Heard += gap
 			r.members[name] = m
 		}
 	}
-	if !r.hasRead {
-		r.hasRead, r.firstRead = true, now
+	if !r.everCurrent {
+		r.everCurrent, r.firstCurrent = true, now
 	}
-	r.lastRead = now
+	r.lastCurrent = now
 }
 
 // SetMembers replaces the members with those that were read, and evaluates whether to
@@ -221,7 +221,7 @@
 	first := r.replaceMembers(posted)
 	r.tryElect()
 	if first {
-		close(r.read)
+		close(r.membersSet)
 	}
 }
 
@@ -256,7 +256,7 @@
 func (r *Roster) Age() (age clock.Millis, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.Clock.Mono() - r.lastRead, r.hasRead
+	return r.Clock.Mono() - r.lastCurrent, r.everCurrent
 }
 
 // Followers returns the other live instances that follow the ledger: those of this
@@ -267,7 +267,7 @@
 	var near, far []views.Member
 	for _, m := range r.members {
 		switch {
-		case !m.Follows || !m.Alive(r.lastRead) || m.Name.ListName() == r.Self.Name.ListName():
+		case !m.Follows || !m.Alive(r.lastCurrent) || m.Name.ListName() == r.Self.Name.ListName():
 		case m.Zone == r.Self.Zone:
 			near = append(near, views.Member{Name: m.Name, Zone: m.Zone})
 		default:
@@ -283,8 +283,8 @@
 }
 
 // Peers returns the addresses of other live instances. Most calls return only those in this
-// availability zone, if there are any. While the roster cannot be read, the last known
-// members count.
+// availability zone, if there are any; see allZonesInterval. While the roster cannot be
+// read, the last known members count.
 func (r *Roster) Peers() []ident.Address {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -307,7 +307,7 @@
 // this availability zone, all those in every zone. The caller must hold mu.
 func (r *Roster) livingAddresses() (near, all []ident.Address) {
 	for _, m := range r.members {
-		if m.Name.ListName() == r.Self.Name.ListName() || !m.Alive(r.lastRead) {
+		if m.Name.ListName() == r.Self.Name.ListName() || !m.Alive(r.lastCurrent) {
 			continue
 		}
 		all = append(all, m.Address)
--- a/croftmoor/roster/roster_test.go
+++ b/croftmoor/roster/roster_test.go
@@ -45,7 +45,7 @@
 func load(r *Roster, posted []Posted) {
 	r.MarkCurrent(r.Clock.Mono())
 	r.replaceMembers(posted)
-	r.firstRead -= settleTime
+	r.firstCurrent -= settleTime
 }
 
 func wantElected(t *testing.T, r *Roster, want bool) {
@@ -102,8 +102,8 @@
 		r, _ := rosterOf("front-x~1")
 		load(r, followerPosts(elect.PerZone))
 		const outage = 20 * clock.Second
-		r.firstRead -= outage
-		r.lastRead -= outage
+		r.firstCurrent -= outage
+		r.lastCurrent -= outage
 		for name, m := range r.members {
 			m.Heard -= outage
 			r.members[name] = m
--- a/kernel/fleet/fleet.go
+++ b/kernel/fleet/fleet.go
@@ -64,7 +64,7 @@
 	// Slots is the number of requests that a backend server runs concurrently; 0 if
 	// unknown.
 	Slots int
-	// Spot reports whether the platform may withdraw the server at short notice.
+	// Spot is true if the platform may withdraw the server at short notice.
 	Spot bool
 	// Versions holds the weight version of each model that an engine reports.
 	Versions map[ident.Model]ident.Version
--- a/kernel/gone/gone.go
+++ b/kernel/gone/gone.go
@@ -26,9 +26,10 @@
 type Watcher struct {
 	Clock  *clock.Clock
 	shards [shards]shard
-	next   counter
+	ids    counter
 }
 
+// counter generates the keys of watched connections.
 type counter struct {
 	mu sync.Mutex
 	n  uint64
@@ -61,7 +62,7 @@
 	if socket == nil {
 		return watched, cancel
 	}
-	id := w.next.add()
+	id := w.ids.next()
 	s := &w.shards[id%shards]
 	s.mu.Lock()
 	if s.watched == nil {
@@ -77,7 +78,7 @@
 	}
 }
 
-func (c *counter) add() uint64 {
+func (c *counter) next() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.n++
@@ -100,11 +101,11 @@
 	for {
 		switch c := conn.(type) {
 		case syscall.Conn:
-			raw, err := c.SyscallConn()
+			socket, err := c.SyscallConn()
 			if err != nil {
 				return nil
 			}
-			return raw
+			return socket
 		case interface{ NetConn() net.Conn }:
 			conn = c.NetConn()
 		default:
@@ -114,10 +115,10 @@
 }
 
 // peerClosed reports whether the peer has closed or reset the connection and no unread
-// bytes remain.
-func peerClosed(raw syscall.RawConn) bool {
+// bytes remain. It also returns true if the socket is not accessible any more.
+func peerClosed(socket syscall.RawConn) bool {
 	closed := false
-	err := raw.Control(func(fd uintptr) {
+	err := socket.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		closed = (n == 0 && err == nil) || err == syscall.ECONNRESET
@@ -126,15 +127,15 @@
 }
 
 // Reusable reports whether an idle connection can take another request: the peer has not
-// closed it, and it has no unread bytes, which would be unsolicited. A conn without a
-// socket counts as reusable.
+// closed it, the socket is accessible, and it has no unread bytes, which would be
+// unsolicited. A conn without a socket counts as reusable.
 func Reusable(conn net.Conn) bool {
-	raw := socketOf(conn)
-	if raw == nil {
+	socket := socketOf(conn)
+	if socket == nil {
 		return true
 	}
 	reusable := false
-	err := raw.Control(func(fd uintptr) {
+	err := socket.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		reusable = err == syscall.EAGAIN
--- a/kernel/guess/guess.go
+++ b/kernel/guess/guess.go
@@ -37,26 +37,26 @@
 }
 
 // Observe records the length of a finished answer.
-func (l *Estimator) Observe(prompt string, length ident.Tokens) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.byFamily == nil || len(l.byFamily) > maxFamilies {
-		l.byFamily = map[string]float64{}
+func (e *Estimator) Observe(prompt string, length ident.Tokens) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.byFamily == nil || len(e.byFamily) > maxFamilies {
+		e.byFamily = map[string]float64{}
 	}
 	family := Family(prompt)
-	l.byFamily[family] = movingAverage(l.byFamily[family], float64(length))
-	l.overallMean = movingAverage(l.overallMean, float64(length))
+	e.byFamily[family] = movingAverage(e.byFamily[family], float64(length))
+	e.overallMean = movingAverage(e.overallMean, float64(length))
 }
 
 // Estimate returns the expected length of an answer: the mean of its family, else the
 // mean of all answers, else 0.
-func (l *Estimator) Estimate(prompt string) ident.Tokens {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if mean, ok := l.byFamily[Family(prompt)]; ok {
+func (e *Estimator) Estimate(prompt string) ident.Tokens {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if mean, ok := e.byFamily[Family(prompt)]; ok {
 		return ident.Tokens(mean)
 	}
-	return ident.Tokens(l.overallMean)
+	return ident.Tokens(e.overallMean)
 }
 
 func movingAverage(mean, value float64) float64 {
--- a/kernel/place/place.go
+++ b/kernel/place/place.go
@@ -69,8 +69,8 @@
 
 // MoveCandidate describes an answer in progress and the best other engine for it.
 type MoveCandidate struct {
-	// LastOfStep reports whether all samples of the step have been started, in which
-	// case the step ends with the answers in progress.
+	// LastOfStep is true if all samples of the step have been started, so that only
+	// answers in progress delay its end.
 	LastOfStep bool
 	// TokensLeft is the predicted number of tokens still to be generated. Callers may
 	// count in another unit, such as stream events, if both rates use it too.
@@ -104,8 +104,8 @@
 // EnginesPerTrainer returns spreadFactor times the trainer's even share. It does not use
 // all engines, because the store's rate limit delays new weights with each one.
 func (longest) EnginesPerTrainer(engines, trainers int) int {
-	evenShare := spreadFactor * float64(engines) / float64(max(trainers, 1))
-	return min(engines, max(minEngines, int(math.Ceil(evenShare))))
+	wantedEngines := spreadFactor * float64(engines) / float64(max(trainers, 1))
+	return min(engines, max(minEngines, int(math.Ceil(wantedEngines))))
 }
 
 // ShouldMove moves the last answers of a step if that saves enough time.
--- a/kernel/poison/table.go
+++ b/kernel/poison/table.go
@@ -49,8 +49,8 @@
 	// excused ones. SinceLastEnd is the time since the last of them was noted.
 	Ends         int
 	SinceLastEnd clock.Millis
-	// Ambiguous reports whether another request explains the same number of ends and
-	// shares one of them.
+	// Ambiguous is true if another request explains the same number of ends and shares
+	// one of them.
 	Ambiguous bool
 }
 
@@ -99,7 +99,8 @@
 }
 
 // Ended notes an end and reports whether it is new. published is true if the end was read
-// from the log, where all instances see it.
+// from the log, where all instances see it. Beyond maxEnds, ends are not stored: such an end
+// is reported as new each time, and only updates lastEnd.
 func (t *Table) Ended(e End, published bool, now clock.Millis) bool {
 	s := t.suspects[e.Request]
 	if s == nil {
--- a/kernel/route/balanced.go
+++ b/kernel/route/balanced.go
@@ -19,8 +19,8 @@
 	slowdownHalfLife = 300 * clock.Millis(1)
 	// cacheGain is the share of a request's work that a fully cached prompt saves.
 	cacheGain = 0.1
-	// ownLiveWeight is the load that each live request of this instance at a candidate
-	// adds for another live request.
+	// ownLiveWeight weighs this instance's live requests at a candidate when Cost
+	// estimates the load that another live request finds there.
 	ownLiveWeight = 2.0
 	// sampleSize is how many random candidates are compared. Random sampling keeps
 	// instances that hold the same stale report from choosing the same server.
--- a/kernel/route/pace_test.go
+++ b/kernel/route/pace_test.go
@@ -63,69 +63,69 @@
 	return last
 }
 
-func (p *simulation) after(span clock.Millis, do func()) {
-	heap.Push(&p.queue, timer{at: p.now + span, do: do})
+func (sim *simulation) after(span clock.Millis, do func()) {
+	heap.Push(&sim.queue, timer{at: sim.now + span, do: do})
 }
 
 // run returns how many calls exceeded latencyObjective.
-func (p *simulation) run(seed uint64) int {
-	p.random, p.slowdowns = rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
+func (sim *simulation) run(seed uint64) int {
+	sim.random, sim.slowdowns = rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
 	for range simServers {
-		p.servers = append(p.servers, &simServer{slowdown: 1})
+		sim.servers = append(sim.servers, &simServer{slowdown: 1})
 	}
 	for range simInstances {
-		p.lastKnown = append(p.lastKnown, make([]Candidate, simServers))
-		p.reportedAt = append(p.reportedAt, make([]clock.Millis, simServers))
+		sim.lastKnown = append(sim.lastKnown, make([]Candidate, simServers))
+		sim.reportedAt = append(sim.reportedAt, make([]clock.Millis, simServers))
 	}
-	p.changeSlowdowns()
-	p.scheduleArrival()
-	for len(p.queue) > 0 && p.now < simDuration {
-		next, _ := heap.Pop(&p.queue).(timer)
-		p.now = next.at
+	sim.changeSlowdowns()
+	sim.scheduleArrival()
+	for len(sim.queue) > 0 && sim.now < simDuration {
+		next, _ := heap.Pop(&sim.queue).(timer)
+		sim.now = next.at
 		next.do()
 	}
-	return p.late
+	return sim.late
 }
 
-func (p *simulation) changeSlowdowns() {
-	for _, s := range p.servers {
+func (sim *simulation) changeSlowdowns() {
+	for _, s := range sim.servers {
 		s.slowdown = 1
-		if p.slowdowns.Float64() < slowProbability {
+		if sim.slowdowns.Float64() < slowProbability {
 			s.slowdown = slowFactor
 		}
 	}
-	p.after(slowPeriod, p.changeSlowdowns)
+	sim.after(slowPeriod, sim.changeSlowdowns)
 }
 
-func (p *simulation) scheduleArrival() {
+func (sim *simulation) scheduleArrival() {
 	capacity := simServers * simSlots / simWorkMillis / (1 + slowProbability*(slowFactor-1))
-	p.after(clock.Millis(math.Round(p.random.ExpFloat64()/(capacity*utilisation))), func() {
-		p.startCall(p.random.IntN(simInstances))
-		p.scheduleArrival()
+	sim.after(clock.Millis(math.Round(sim.random.ExpFloat64()/(capacity*utilisation))), func() {
+		sim.startCall(sim.random.IntN(simInstances))
+		sim.scheduleArrival()
 	})
 }
 
-func (p *simulation) startCall(instance int) {
-	p.calls++
+func (sim *simulation) startCall(instance int) {
+	sim.calls++
 	candidates := make([]Candidate, simServers)
 	for i := range candidates {
-		c := p.lastKnown[instance][i]
+		c := sim.lastKnown[instance][i]
 		c.Zone, c.Slots, c.Weight, c.Warm = "z", simSlots, 1, true
-		c.ReportAge = p.now - p.reportedAt[instance][i]
-		if p.ignoreSlowdown {
+		c.ReportAge = sim.now - sim.reportedAt[instance][i]
+		if sim.ignoreSlowdown {
 			c.Slowdown = 0
 		}
 		candidates[i] = c
 	}
 	request := Request{Zone: "z", Work: simWorkMillis, ZoneLatency: 1, Live: true, LiveOnly: true}
-	chosen := balanced{}.Pick(request, candidates, p.random).Index
-	s, candidate, started := p.servers[chosen], &p.lastKnown[instance][chosen], p.now
+	chosen := balanced{}.Pick(request, candidates, sim.random).Index
+	s, candidate, started := sim.servers[chosen], &sim.lastKnown[instance][chosen], sim.now
 	candidate.Own++
 	candidate.OwnLive++
 	serve := func() {
 		s.running++
-		work := simWorkMillis * s.slowdown * math.Exp(p.random.NormFloat64()*0.5-0.125)
-		p.after(clock.Millis(math.Round(work)), func() {
+		work := simWorkMillis * s.slowdown * math.Exp(sim.random.NormFloat64()*0.5-0.125)
+		sim.after(clock.Millis(math.Round(work)), func() {
 			s.running--
 			if len(s.waiting) > 0 {
 				first := s.waiting[0]
@@ -135,9 +135,9 @@
 			candidate.Own--
 			candidate.OwnLive--
 			candidate.Reported, candidate.OwnAtReport, candidate.HasReport, candidate.Slowdown = s.running+len(s.waiting), candidate.Own, true, s.slowdown
-			p.reportedAt[instance][chosen] = p.now
-			if p.now-started > latencyObjective {
-				p.late++
+			sim.reportedAt[instance][chosen] = sim.now
+			if sim.now-started > latencyObjective {
+				sim.late++
 			}
 		})
 	}
--- a/kernel/route/route.go
+++ b/kernel/route/route.go
@@ -38,7 +38,7 @@
 	// Cached is the estimated share of the prompt's prefix that the server has cached,
 	// from 0 to 1.
 	Cached float64
-	// Warm reports whether this instance has an idle connection to the server.
+	// Warm is true if this instance has an idle connection to the server.
 	Warm bool
 }
 
@@ -50,9 +50,9 @@
 	Work clock.Millis
 	// ZoneLatency is the one-way latency to another availability zone.
 	ZoneLatency clock.Millis
-	// Live reports whether engines serve the request ahead of rollouts.
+	// Live is true if engines serve the request ahead of rollouts.
 	Live bool
-	// LiveOnly reports whether the servers run live requests only, in order of arrival.
+	// LiveOnly is true if the servers run live requests only, in order of arrival.
 	LiveOnly bool
 }
 
--- a/kernel/trail/trail.go
+++ b/kernel/trail/trail.go
@@ -60,7 +60,7 @@
 	// a shard is evicted, and further decisions on an id are dropped.
 	idsPerShard    = 4096
 	decisionsPerID = 24
-	// sampleInterval is N where one in N decisions above SampleAbove is written.
+	// One in sampleInterval decisions above SampleAbove is written.
 	sampleInterval = 16
 )
 
@@ -103,8 +103,8 @@
 		Str("RunnerUp", d.RunnerUp).Str("Reason", d.Reason).Msg("decision")
 }
 
-// shouldLog reports whether a decision is written, and counts it towards SampleAbove
-// unless it is a refusal.
+// shouldLog reports whether a decision is written. It counts the decision towards
+// SampleAbove, unless that is 0 or the decision is a refusal.
 func (t *Trail) shouldLog(d Decision) bool {
 	if t.SampleAbove == 0 || d.Action == Refuse {
 		return true
