--- a/croftmoor/roster/roster_test.go
+++ b/croftmoor/roster/roster_test.go
@@ -29,8 +29,8 @@
 	return r, board
 }
 
-// followers returns posts of n members that follow the ledger.
-func followers(n int) []Posted {
+// followerPosts returns posts of n members that follow the ledger.
+func followerPosts(n int) []Posted {
 	posted := make([]Posted, 0, n)
 	for i := range n {
 		posted = append(posted, Posted{Offset: ident.Offset(i + 1), Member: elect.Member{
@@ -45,7 +45,7 @@
 func load(r *Roster, posted []Posted) {
 	r.MarkCurrent(r.Clock.Mono())
 	r.replaceMembers(posted)
-	r.firstRead -= settleTime
+	r.firstCurrent -= settleTime
 }
 
 func wantElected(t *testing.T, r *Roster, want bool) {
@@ -69,14 +69,14 @@
 	t.Run("an instance that started again follows at once", func(t *testing.T) {
 		r, _ := rosterOf("front-3~9")
 		r.MarkCurrent(r.Clock.Mono())
-		r.SetMembers(followers(elect.FollowersPerZone))
+		r.SetMembers(followerPosts(elect.FollowersPerZone))
 		if _, open := <-r.Elected(); open {
 			t.Error("it is not elected although its previous process is listed")
 		}
 	})
 	t.Run("an instance follows once, and says so", func(t *testing.T) {
 		r, board := rosterOf("front-x~1")
-		load(r, followers(elect.FollowersPerZone-1))
+		load(r, followerPosts(elect.FollowersPerZone-1))
 		wantElected(t, r, true)
 		wantElected(t, r, false)
 		r.post(t.Context())
@@ -86,12 +86,12 @@
 	})
 	t.Run("where enough follow it does not", func(t *testing.T) {
 		r, _ := rosterOf("front-x~1")
-		load(r, followers(elect.FollowersPerZone))
+		load(r, followerPosts(elect.FollowersPerZone))
 		wantElected(t, r, false)
 	})
 	t.Run("silence of followers is noticed", func(t *testing.T) {
 		r, _ := rosterOf("front-x~1")
-		load(r, followers(elect.FollowersPerZone))
+		load(r, followerPosts(elect.FollowersPerZone))
 		for name, m := range r.members {
 			m.LastHeartbeat -= 4 * elect.FollowerHeartbeatPeriod
 			r.members[name] = m
@@ -100,10 +100,10 @@
 	})
 	t.Run("time in which the roster could not be read ages nobody", func(t *testing.T) {
 		r, _ := rosterOf("front-x~1")
-		load(r, followers(elect.FollowersPerZone))
+		load(r, followerPosts(elect.FollowersPerZone))
 		const outage = 20 * clock.Second
-		r.firstRead -= outage
-		r.lastRead -= outage
+		r.firstCurrent -= outage
+		r.lastCurrent -= outage
 		for name, m := range r.members {
 			m.LastHeartbeat -= outage
 			r.members[name] = m
@@ -123,7 +123,7 @@
 
 func TestFollowers(t *testing.T) {
 	r, _ := rosterOf("front-0~2")
-	posted := followers(4)
+	posted := followerPosts(4)
 	posted[1].Leaving = true
 	posted[2].Zone = "y"
 	posted[3].Follows = false
--- a/kernel/poison/table.go
+++ b/kernel/poison/table.go
@@ -49,8 +49,8 @@
 	// excused ones. SinceLastEnd is the time since the last of them was noted.
 	Ends         int
 	SinceLastEnd clock.Millis
-	// Ambiguous reports whether another request explains the same number of ends and
-	// shares one of them.
+	// Ambiguous is true if another request explains the same number of ends and shares
+	// one of them.
 	Ambiguous bool
 }
 
@@ -99,7 +99,8 @@
 }
 
 // Ended notes an end and reports whether it is new. published is true if the end was read
-// from the log, where all instances see it.
+// from the log, where all instances see it. Beyond maxEnds, ends are not stored: such an end
+// is reported as new each time, and only updates lastEnd.
 func (t *Table) Ended(e End, published bool, now clock.Millis) bool {
 	s := t.suspects[e.Request]
 	if s == nil {
@@ -236,16 +237,16 @@
 	undecided := slices.Collect(maps.Keys(t.overThreshold))
 	explained := map[ident.BackendName]bool{}
 	for len(undecided) > 0 {
-		highest, unexplained := 0, map[Fingerprint]int{}
+		highest, unexplainedEnds := 0, map[Fingerprint]int{}
 		for _, request := range undecided {
-			unexplained[request] = t.unexplained(request, explained)
-			highest = max(highest, unexplained[request])
+			unexplainedEnds[request] = t.unexplained(request, explained)
+			highest = max(highest, unexplainedEnds[request])
 		}
 		if highest < Threshold {
 			return
 		}
-		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplained[request] < Threshold })
-		top := slices.DeleteFunc(slices.Clone(undecided), func(request Fingerprint) bool { return unexplained[request] < highest })
+		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplainedEnds[request] < Threshold })
+		top := slices.DeleteFunc(slices.Clone(undecided), func(request Fingerprint) bool { return unexplainedEnds[request] < highest })
 		for _, request := range top {
 			t.held[request] = hold{ambiguous: t.overlaps(request, top, explained)}
 		}
@@ -254,7 +255,7 @@
 				explained[server] = true
 			}
 		}
-		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplained[request] == highest })
+		undecided = slices.DeleteFunc(undecided, func(request Fingerprint) bool { return unexplainedEnds[request] == highest })
 	}
 }
 
