--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -168,7 +168,7 @@
 		name := ident.BackendName(m.Name)
 		pace := b.Paces[name].PerEvent
 		version, ready := Version(b, m, c.accept.Model, now)
-		engine := deal.Engine{Name: name, Slots: cmp.Or(m.Slots, slots, 1), Load: b.Loads[name], PerEvent: pace, FailureRate: b.Faults[name]}
+		engine := deal.Engine{Name: name, Slots: cmp.Or(m.Slots, slots, 1), Load: b.Loads[name], MillisPerEvent: pace, FailureRate: b.Faults[name]}
 		switch {
 		case name == c.item.Engine, m.State == fleet.Leaving, now < b.Avoided[name], pace == 0:
 			continue
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -119,13 +119,13 @@
 	s.added = true
 	s.median = deal.MedianPace(s.engines)
 	for _, job := range s.waiting() {
-		var waits []deal.PendingItem
+		var waits []deal.WaitingItem
 		for n := range job.Items {
 			item := &job.Items[n]
 			if item.Done || (item.Claim != 0 && !s.silent[item.Owner]) || s.now < item.Deferred {
 				continue
 			}
-			waits = append(waits, deal.PendingItem{
+			waits = append(waits, deal.WaitingItem{
 				Target: jobs.Target{Index: n, Replaces: item.Claim}, Group: item.Group, Expect: item.Expect,
 				Deferrable: s.patient(job, item), FailedOn: s.not(item),
 			})
@@ -198,7 +198,7 @@
 			}
 			s.services[name] = service
 			s.engines = append(s.engines, deal.Engine{
-				Name: name, Slots: cmp.Or(m.Slots, settings.Slots, 1), Load: s.book.Loads[name], PerEvent: s.book.Paces[name].PerEvent,
+				Name: name, Slots: cmp.Or(m.Slots, settings.Slots, 1), Load: s.book.Loads[name], MillisPerEvent: s.book.Paces[name].PerEvent,
 				FailureRate: s.book.Faults[name],
 			})
 			for _, model := range settings.Models {
--- a/croftmoor/swaps/survey.go
+++ b/croftmoor/swaps/survey.go
@@ -41,7 +41,7 @@
 func (s *survey) states() []loads.Engine {
 	known := make([]deal.Engine, 0, len(s.engines))
 	for _, m := range s.engines {
-		known = append(known, deal.Engine{PerEvent: s.book.Paces[ident.BackendName(m.Name)].PerEvent})
+		known = append(known, deal.Engine{MillisPerEvent: s.book.Paces[ident.BackendName(m.Name)].PerEvent})
 	}
 	median := deal.MedianPace(known)
 	states := make([]loads.Engine, 0, len(s.engines))
--- a/kernel/deal/deal.go
+++ b/kernel/deal/deal.go
@@ -18,9 +18,9 @@
 	Slots int
 	// Load is the sum of the items that are claimed for the engine.
 	Load jobs.Load
-	// PerEvent is the observed time per event, in milliseconds, of an item that runs
+	// MillisPerEvent is the observed time per event, in milliseconds, of an item that runs
 	// alone; 0 means unknown.
-	PerEvent float64
+	MillisPerEvent float64
 	// FailureRate is the share of runs, 0 to 1, that fail through the engine's fault.
 	FailureRate float64
 }
@@ -51,8 +51,8 @@
 	// use only part of an engine's slots, because every concurrent item slows the
 	// long ones down.
 	Deferrable bool
-	// FailedOn lists the engines on which the item has failed. Assign avoids them
-	// while another engine is eligible.
+	// FailedOn lists the engine of each failed run of the item. Assign avoids these
+	// engines while more engines are eligible than FailedOn has entries.
 	FailedOn []ident.BackendName
 }
 
@@ -62,27 +62,27 @@
 	Engine ident.BackendName
 }
 
-// PendingItem is an item of a job without a result and without a valid claim.
-type PendingItem struct {
+// WaitingItem is an item of a job without a result and without a current claim.
+type WaitingItem struct {
 	Target jobs.Target
 	Group  ident.Group
 	Expect ident.Tokens
 	// Deferrable means that the item is expected to end in time even if it starts
 	// later.
 	Deferrable bool
-	// FailedOn lists the engines on which the item has failed.
+	// FailedOn lists the engine of each failed run of the item.
 	FailedOn []ident.BackendName
 }
 
-// Order ranks the pending items of a job and sorts them by expected length, longest
-// first, because a step ends with its last item. requiredGroups is the number of
-// groups that the trainer waits for, 0 for all. groupLengths holds the expected length of each
-// group of the job, its finished items included; carriedOver marks the groups that an
-// earlier step did not finish.
-func Order(job ident.Job, pending []PendingItem, requiredGroups int, groupLengths map[ident.Group]ident.Tokens, carriedOver map[ident.Group]bool) []RankedItem {
+// Order ranks the waiting items of a job and sorts them by expected length, longest first,
+// because a step ends with its last item. requiredGroups is the number of groups that the
+// trainer waits for, 0 for all. groupLengths holds the expected length of each group of
+// the job, its finished items included; carriedOver marks the groups that an earlier step
+// did not finish.
+func Order(job ident.Job, waiting []WaitingItem, requiredGroups int, groupLengths map[ident.Group]ident.Tokens, carriedOver map[ident.Group]bool) []RankedItem {
 	surplus := surplusGroups(requiredGroups, groupLengths, carriedOver)
-	items := make([]RankedItem, 0, len(pending))
-	for _, p := range pending {
+	items := make([]RankedItem, 0, len(waiting))
+	for _, p := range waiting {
 		rank := Required
 		switch {
 		case carriedOver[p.Group]:
@@ -99,8 +99,8 @@
 }
 
 // surplusGroups returns the groups beyond the first requiredGroups, ordered by carried
-// over first, then by length. It returns nil if the trainer waits for all groups, which
-// a requiredGroups of 0 also means.
+// over first, then by length. It returns nil if the trainer waits for all groups, which a
+// requiredGroups of 0 also means.
 func surplusGroups(requiredGroups int, groupLengths map[ident.Group]ident.Tokens, carriedOver map[ident.Group]bool) map[ident.Group]bool {
 	if requiredGroups <= 0 || requiredGroups >= len(groupLengths) {
 		return nil
@@ -210,7 +210,7 @@
 // engine, raised by its failure rate. The median is used for an engine whose time per
 // event is unknown or within paceTolerance of it.
 func (e *Engine) Cost(median float64) float64 {
-	pace := e.PerEvent
+	pace := e.MillisPerEvent
 	if pace == 0 || math.Abs(pace-median) < paceTolerance*median {
 		pace = median
 	}
@@ -228,8 +228,8 @@
 func MedianPace(engines []Engine) float64 {
 	var paces []float64
 	for _, e := range engines {
-		if e.PerEvent > 0 {
-			paces = append(paces, e.PerEvent)
+		if e.MillisPerEvent > 0 {
+			paces = append(paces, e.MillisPerEvent)
 		}
 	}
 	if len(paces) == 0 {
--- a/kernel/deal/deal_test.go
+++ b/kernel/deal/deal_test.go
@@ -28,9 +28,9 @@
 }
 
 func TestOrder(t *testing.T) {
-	pending := []PendingItem{{Target: jobs.Target{Index: 0}, Group: "a", Expect: 5}, {Target: jobs.Target{Index: 1}, Group: "b", Expect: 9}, {Target: jobs.Target{Index: 2}, Group: "c", Expect: 7}}
+	waiting := []WaitingItem{{Target: jobs.Target{Index: 0}, Group: "a", Expect: 5}, {Target: jobs.Target{Index: 1}, Group: "b", Expect: 9}, {Target: jobs.Target{Index: 2}, Group: "c", Expect: 7}}
 	groupLengths := map[ident.Group]ident.Tokens{"a": 5, "b": 9, "c": 7}
-	got := Order("j", pending, 2, groupLengths, map[ident.Group]bool{"c": true})
+	got := Order("j", waiting, 2, groupLengths, map[ident.Group]bool{"c": true})
 	var order []int
 	var ranks []Rank
 	for _, p := range got {
@@ -47,31 +47,31 @@
 
 func TestSpread(t *testing.T) {
 	t.Run("no engine gets more than its slots and what is allowed beyond", func(t *testing.T) {
-		deals := Assign(itemsOf(1, 1, 1, 1, 1), []Engine{{Name: "e", Slots: 2}, {Name: "f", Slots: 1}}, 1, anywhere)
-		if len(deals) != 5 {
-			t.Errorf("%d items assigned, want 5", len(deals))
+		assignments := Assign(itemsOf(1, 1, 1, 1, 1), []Engine{{Name: "e", Slots: 2}, {Name: "f", Slots: 1}}, 1, anywhere)
+		if len(assignments) != 5 {
+			t.Errorf("%d items assigned, want 5", len(assignments))
 		}
-		if deals = Assign(itemsOf(1), []Engine{{Name: "e", Slots: 2, Load: jobs.Load{Items: 3}}}, 1, anywhere); len(deals) != 0 {
-			t.Errorf("%d items assigned to a full engine", len(deals))
+		if assignments = Assign(itemsOf(1), []Engine{{Name: "e", Slots: 2, Load: jobs.Load{Items: 3}}}, 1, anywhere); len(assignments) != 0 {
+			t.Errorf("%d items assigned to a full engine", len(assignments))
 		}
 	})
 	t.Run("long items do not gather at one engine", func(t *testing.T) {
-		deals := Assign(itemsOf(9000, 9000), []Engine{{Name: "e", Slots: 9, PerEvent: 38}, {Name: "f", Slots: 9, PerEvent: 40}}, 0, anywhere)
-		if engineOf(t, deals, 0) == engineOf(t, deals, 1) {
+		assignments := Assign(itemsOf(9000, 9000), []Engine{{Name: "e", Slots: 9, MillisPerEvent: 38}, {Name: "f", Slots: 9, MillisPerEvent: 40}}, 0, anywhere)
+		if engineOf(t, assignments, 0) == engineOf(t, assignments, 1) {
 			t.Error("both items were assigned to one engine")
 		}
 	})
 	t.Run("a slow engine comes last", func(t *testing.T) {
-		engines := []Engine{{Name: "e", Slots: 2, PerEvent: 140}, {Name: "f", Slots: 2, PerEvent: 40}, {Name: "g", Slots: 2, PerEvent: 41}}
-		deals := Assign(itemsOf(9, 8, 7, 6, 5), engines, 0, anywhere)
-		if engineOf(t, deals, 4) != "e" || engineOf(t, deals, 3) == "e" {
+		engines := []Engine{{Name: "e", Slots: 2, MillisPerEvent: 140}, {Name: "f", Slots: 2, MillisPerEvent: 40}, {Name: "g", Slots: 2, MillisPerEvent: 41}}
+		assignments := Assign(itemsOf(9, 8, 7, 6, 5), engines, 0, anywhere)
+		if engineOf(t, assignments, 4) != "e" || engineOf(t, assignments, 3) == "e" {
 			t.Error("the slow engine did not get the shortest item")
 		}
 	})
 	t.Run("an item does not go back to the engine that failed it", func(t *testing.T) {
 		failed := itemsOf(9)
 		failed[0].FailedOn = []ident.BackendName{"e"}
-		two := []Engine{{Name: "e", Slots: 2, PerEvent: 40}, {Name: "f", Slots: 2, PerEvent: 90}}
+		two := []Engine{{Name: "e", Slots: 2, MillisPerEvent: 40}, {Name: "f", Slots: 2, MillisPerEvent: 90}}
 		if got := engineOf(t, Assign(failed, two, 0, anywhere), 0); got != "f" {
 			t.Errorf("assigned to %s, want f", got)
 		}
@@ -80,14 +80,14 @@
 		}
 	})
 	t.Run("an engine that fails half of its runs comes last", func(t *testing.T) {
-		list := []Engine{{Name: "e", Slots: 2, PerEvent: 40, FailureRate: 0.5}, {Name: "f", Slots: 2, PerEvent: 45}}
+		list := []Engine{{Name: "e", Slots: 2, MillisPerEvent: 40, FailureRate: 0.5}, {Name: "f", Slots: 2, MillisPerEvent: 45}}
 		if got := engineOf(t, Assign(itemsOf(9), list, 0, anywhere), 0); got != "f" {
 			t.Errorf("assigned to %s, want f", got)
 		}
 	})
 	t.Run("an item goes only where it is allowed", func(t *testing.T) {
-		deals := Assign(itemsOf(1), []Engine{{Name: "e", Slots: 1}}, 0, func(ident.BackendName, ident.Job) bool { return false })
-		if len(deals) != 0 {
+		assignments := Assign(itemsOf(1), []Engine{{Name: "e", Slots: 1}}, 0, func(ident.BackendName, ident.Job) bool { return false })
+		if len(assignments) != 0 {
 			t.Error("item assigned to an engine that is not allowed")
 		}
 	})
@@ -99,10 +99,10 @@
 		deferrable[i].Deferrable = true
 	}
 	engines := []Engine{{Name: "e", Slots: 5}}
-	if deals := Assign(deferrable, engines, 1, anywhere); len(deals) != 4 {
-		t.Errorf("%d deferrable items on an engine with 5 slots, want 4", len(deals))
+	if assignments := Assign(deferrable, engines, 1, anywhere); len(assignments) != 4 {
+		t.Errorf("%d deferrable items on an engine with 5 slots, want 4", len(assignments))
 	}
-	if deals := Assign(append(deferrable, itemsOf(9, 9, 9)...), engines, 1, anywhere); len(deals) != 6 {
-		t.Errorf("%d items in total, deferrable and urgent, want 6", len(deals))
+	if assignments := Assign(append(deferrable, itemsOf(9, 9, 9)...), engines, 1, anywhere); len(assignments) != 6 {
+		t.Errorf("%d items in total, deferrable and urgent, want 6", len(assignments))
 	}
 }
--- a/kernel/deal/fixed.go
+++ b/kernel/deal/fixed.go
@@ -22,38 +22,38 @@
 // NewRendezvous returns an assignment to the given engines. allowed reports whether an
 // engine can run a job's items; its results are cached by job.
 func NewRendezvous(engines []Engine, allowed func(ident.BackendName, ident.Job) bool) *Rendezvous {
-	f := &Rendezvous{engines: engines, allowed: allowed, eligibleByJob: map[ident.Job][]bool{}}
+	r := &Rendezvous{engines: engines, allowed: allowed, eligibleByJob: map[ident.Job][]bool{}}
 	median := MedianPace(engines)
 	for i := range engines {
-		pace := engines[i].PerEvent
+		pace := engines[i].MillisPerEvent
 		if pace == 0 {
 			pace = median
 		}
-		f.weights = append(f.weights, float64(max(engines[i].Slots, 1))/pace)
-		f.hashes = append(f.hashes, ident.Hash(string(engines[i].Name)))
+		r.weights = append(r.weights, float64(max(engines[i].Slots, 1))/pace)
+		r.hashes = append(r.hashes, ident.Hash(string(engines[i].Name)))
 	}
-	return f
+	return r
 }
 
 // Engine returns the engine for an item, or false if no engine can run the job.
-func (f *Rendezvous) Engine(item ident.Item, job ident.Job) (ident.BackendName, bool) {
-	if f.eligibleByJob[job] == nil {
-		f.eligibleByJob[job] = eligibility(f.engines, job, f.allowed)
+func (r *Rendezvous) Engine(item ident.Item, job ident.Job) (ident.BackendName, bool) {
+	if r.eligibleByJob[job] == nil {
+		r.eligibleByJob[job] = eligibility(r.engines, job, r.allowed)
 	}
 	itemHash := ident.Hash(string(item))
 	best, score := -1, math.Inf(-1)
-	for i, ok := range f.eligibleByJob[job] {
+	for i, ok := range r.eligibleByJob[job] {
 		if !ok {
 			continue
 		}
-		if s := f.weights[i] / -math.Log(mixToUnitInterval(itemHash, f.hashes[i])); s > score {
+		if s := r.weights[i] / -math.Log(mixToUnitInterval(itemHash, r.hashes[i])); s > score {
 			best, score = i, s
 		}
 	}
 	if best < 0 {
 		return "", false
 	}
-	return f.engines[best].Name, true
+	return r.engines[best].Name, true
 }
 
 // mixToUnitInterval mixes two hashes into a number between 0 and 1, both exclusive.
--- a/kernel/deal/fixed_test.go
+++ b/kernel/deal/fixed_test.go
@@ -10,7 +10,7 @@
 func sixEngines() []Engine {
 	var engines []Engine
 	for n := range 6 {
-		engines = append(engines, Engine{Name: ident.BackendName(fmt.Sprintf("e-%d", n)), Slots: 8, PerEvent: 40})
+		engines = append(engines, Engine{Name: ident.BackendName(fmt.Sprintf("e-%d", n)), Slots: 8, MillisPerEvent: 40})
 	}
 	return engines
 }
@@ -41,7 +41,7 @@
 	}
 	t.Run("an engine that is twice as fast gets twice as many", func(t *testing.T) {
 		engines := sixEngines()
-		engines[0].PerEvent = 20
+		engines[0].MillisPerEvent = 20
 		at := where(engines, everywhere)
 		if fast, usual := share(at, "e-0"), share(at, "e-1"); fast < 0.26 || fast > 0.31 || usual < 0.12 || usual > 0.165 {
 			t.Errorf("shares %.3f and %.3f, want 2/7 and 1/7", fast, usual)
