--- a/kernel/fold/fold.go
+++ b/kernel/fold/fold.go
@@ -41,8 +41,8 @@
 	checkpointRecord recordKind = "Checkpoint"
 )
 
-// State is the shared state after the record at offset UpTo. It is immutable once it is
-// published.
+// State is the shared state after all records up to offset UpTo, inclusive. It is
+// immutable once it is published.
 type State struct {
 	UpTo  ident.Offset
 	Conf  *conf.State
@@ -185,7 +185,8 @@
 	}
 }
 
-// foldAll returns the state after the records, and leaves the given state unchanged.
+// foldAll returns the state after the records, and leaves the given state unchanged. It
+// skips records up to state.UpTo.
 func foldAll(state *State, records []tail.Record) *State {
 	next := state
 	for _, record := range records {
@@ -255,11 +256,11 @@
 	if err != nil {
 		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "can't encode the configuration")
 	}
-	shards, err := views.EncodeState(s.Views)
+	shardViews, err := views.EncodeState(s.Views)
 	if err != nil {
 		return nil, fault.Wrap("fold.EncodeState", Corrupt, err, "can't encode the views")
 	}
-	return json.Marshal(stateWire{UpTo: int64(s.UpTo), Conf: config, Views: shards})
+	return json.Marshal(stateWire{UpTo: int64(s.UpTo), Conf: config, Views: shardViews})
 }
 
 // DecodeState decodes the JSON of EncodeState.
@@ -272,11 +273,11 @@
 	if err != nil {
 		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "can't decode the configuration")
 	}
-	shards, err := views.DecodeState(w.Views)
+	shardViews, err := views.DecodeState(w.Views)
 	if err != nil {
 		return nil, fault.Wrap("fold.DecodeState", Corrupt, err, "can't decode the views")
 	}
-	return &State{UpTo: ident.Offset(w.UpTo), Conf: config, Views: shards}, nil
+	return &State{UpTo: ident.Offset(w.UpTo), Conf: config, Views: shardViews}, nil
 }
 
 // ChangeRecord returns the record of a configuration change.
--- a/kernel/loads/loads.go
+++ b/kernel/loads/loads.go
@@ -58,9 +58,9 @@
 	minSpeed = 0.05
 )
 
-// plan is the state of one call of Plan: the engines as they will be when the loads
+// planner is the state of one call of Plan: the engines as they will be when the loads
 // chosen so far have ended.
-type plan struct {
+type planner struct {
 	engines []Engine
 	models  []Model
 }
@@ -68,7 +68,7 @@
 // Plan returns at most limit loads to order now, the most valuable first, with at most
 // one for each engine. It does not change its arguments.
 func Plan(engines []Engine, models []Model, limit int) []Load {
-	p := &plan{engines: make([]Engine, 0, len(engines)), models: models}
+	p := &planner{engines: make([]Engine, 0, len(engines)), models: models}
 	for _, e := range engines {
 		versions := make(map[ident.Model]ident.Version, len(e.Versions))
 		for model, version := range e.Versions {
@@ -92,7 +92,7 @@
 
 // best returns the load with the highest positive gain and the index of its engine, or
 // false if there is none.
-func (p *plan) best() (Load, int, bool) {
+func (p *planner) best() (Load, int, bool) {
 	var best Load
 	index, bestGain := -1, 0.0
 	for _, m := range p.models {
@@ -111,8 +111,8 @@
 }
 
 // totalSpeeds returns, for each step of a model, the sum of sharedSpeed over the engines
-// that can run it.
-func (p *plan) totalSpeeds(m Model) []float64 {
+// that can run it, as a multiple of the median engine's speed.
+func (p *planner) totalSpeeds(m Model) []float64 {
 	totals := make([]float64, len(m.Steps))
 	for _, e := range p.engines {
 		for n, s := range m.Steps {
@@ -126,8 +126,8 @@
 
 // gain returns the value of a load in tokens: the share of the steps' work that the
 // engine newly serves, less the cost of not serving a waiting step while it loads. The
-// fewer engines a step has, the higher the gain. supply is the result of supplies.
-func (p *plan) gain(e Engine, m Model, totals []float64) float64 {
+// fewer engines a step has, the higher the gain. totals is the result of totalSpeeds.
+func (p *planner) gain(e Engine, m Model, totals []float64) float64 {
 	gain := 0.0
 	speed := p.sharedSpeed(e, m)
 	for n, s := range m.Steps {
@@ -141,9 +141,9 @@
 	return gain
 }
 
-// sharedSpeed returns the engine's speed divided by the number of models that it serves,
-// the given one included.
-func (p *plan) sharedSpeed(e Engine, m Model) float64 {
+// sharedSpeed returns the engine's speed, a multiple of the median engine's, divided by
+// the number of models that it serves, the given one included.
+func (p *planner) sharedSpeed(e Engine, m Model) float64 {
 	otherModels := 0
 	for _, other := range p.models {
 		if other.Name != m.Name && serves(e, other) {
--- a/kernel/once/once.go
+++ b/kernel/once/once.go
@@ -14,8 +14,9 @@
 //
 // A backup in a later epoch never records for an earlier one, so a replaced
 // primary can't grant any more, even if it was suspended in between. This does
-// not depend on clocks. The primary's own guard (see Guard) matters only after
-// a loss of state, or while the primary has no backup.
+// not depend on clocks. The primary's own guard (see Guard) is called for each
+// new claim, but is needed only after a loss of state, or while the primary has
+// no backup.
 package once
 
 import (
@@ -72,7 +73,7 @@
 	// Attempt distinguishes the attempts of one runner, so that a late settlement
 	// of one does not end another.
 	Attempt int64
-	// At is when the id was claimed, on the primary's clock.
+	// At is when the id was claimed, by the primary's clock.
 	At     clock.Millis
 	Answer Answer
 }
@@ -120,7 +121,7 @@
 		return
 	}
 	before := s.view
-	had := s.HasState()
+	hadState := s.HasState()
 	s.view = view
 	if !view.Has(s.Self) {
 		s.entries = nil
@@ -133,9 +134,9 @@
 	if view.Primary != s.Self {
 		return
 	}
-	fresh := view.Base == 0 && !view.Lost
-	kept := had && before.Epoch == view.Base
-	if !fresh && !kept {
+	firstView := view.Base == 0 && !view.Lost
+	kept := hadState && before.Epoch == view.Base
+	if !firstView && !kept {
 		s.lostUntil = now + s.RepeatWindow
 	}
 	s.installedEpoch = view.Epoch
--- a/kernel/once/once_test.go
+++ b/kernel/once/once_test.go
@@ -201,8 +201,8 @@
 // testNow is the current time in the tests of single claims.
 const testNow = clock.Minute
 
-// lead returns a shard at instance a under the given view.
-func lead(t *testing.T, view views.View) *Shard {
+// newPrimary returns a shard at instance a under the given view.
+func newPrimary(t *testing.T, view views.View) *Shard {
 	t.Helper()
 	s := &Shard{Self: "a", RepeatWindow: clock.Minute}
 	s.ApplyView(view, testNow)
@@ -227,7 +227,7 @@
 	const now = testNow
 	first := views.View{Epoch: 1, Primary: "a"}
 	t.Run("a settled id is free or has its answer", func(t *testing.T) {
-		s := lead(t, first)
+		s := newPrimary(t, first)
 		e := assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 1}, now, Pending)
 		s.Settle(Settlement{ID: "x", Runner: "r", Attempt: e.Attempt, Outcome: DidNotRun})
 		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 2}, now, Pending)
@@ -235,7 +235,7 @@
 		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 3}, now, Done)
 	})
 	t.Run("a late settlement of an earlier flight frees nothing", func(t *testing.T) {
-		s := lead(t, first)
+		s := newPrimary(t, first)
 		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 2}, now, Pending)
 		if _, ok := s.Settle(Settlement{ID: "x", Runner: "r", Attempt: 1, Outcome: DidNotRun}); ok {
 			t.Fatal("the settlement of another attempt was applied")
@@ -243,14 +243,14 @@
 		assertStatus(t, s, Request{ID: "x", Runner: "r", Attempt: 3}, now, Granted)
 	})
 	t.Run("after a loss, ids that may have run before are unknown", func(t *testing.T) {
-		s := lead(t, views.View{Epoch: 9, Base: 5, Primary: "a", Lost: true})
+		s := newPrimary(t, views.View{Epoch: 9, Base: 5, Primary: "a", Lost: true})
 		assertStatus(t, s, Request{ID: "x"}, now+1, Unknown)
 		assertStatus(t, s, Request{ID: "old", Issued: now - 1}, now+1, Unknown)
 		assertStatus(t, s, Request{ID: "new", Issued: now + maxSkew + 1}, now+maxSkew+2, Pending)
 		assertStatus(t, s, Request{ID: "x"}, now+clock.Minute, Pending)
 	})
 	t.Run("the guard keeps a cut-off primary from granting", func(t *testing.T) {
-		s := lead(t, first)
+		s := newPrimary(t, first)
 		_, _, err := s.Claim(Request{ID: "x"}, now, func(alone bool) string { return fmt.Sprint("alone ", alone) })
 		if err == nil {
 			t.Fatal("the claim was granted although the guard refused")
--- a/kernel/views/policy.go
+++ b/kernel/views/policy.go
@@ -18,11 +18,11 @@
 func Rank(key string, members []Member) []Member {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b Member) int {
-		ha, hb := ident.Hash(key, string(a.Name)), ident.Hash(key, string(b.Name))
+		hashA, hashB := ident.Hash(key, string(a.Name)), ident.Hash(key, string(b.Name))
 		switch {
-		case ha > hb:
+		case hashA > hashB:
 			return -1
-		case ha < hb:
+		case hashA < hashB:
 			return 1
 		default:
 			return strings.Compare(string(a.Name), string(b.Name))
@@ -157,19 +157,19 @@
 	return p, primary != "" && containsMember(s.Live, primary)
 }
 
-// backupForSelf returns the best reachable backup for self, or "".
+// backupForSelf returns the backup that pickBackup finds for self as primary, other than
+// excluded.
 func backupForSelf(shard Shard, s Situation, excluded ident.InstanceName) ident.InstanceName {
 	return pickBackup(shard, s, s.Self, excluded)
 }
 
-// backupFor returns the best reachable backup, other than self, for the given primary, or
-// "".
+// backupFor returns the backup that pickBackup finds for another primary, other than self.
 func backupFor(shard Shard, s Situation, primary ident.InstanceName) ident.InstanceName {
 	return pickBackup(shard, s, primary, s.Self)
 }
 
-// pickBackup returns the best live and reachable member by Rank other than primary and
-// excluded, in another availability zone than primary's if possible.
+// pickBackup returns the first live and reachable member by Rank other than primary and
+// excluded, in another availability zone than primary's if possible, or "".
 func pickBackup(shard Shard, s Situation, primary, excluded ident.InstanceName) ident.InstanceName {
 	zone := zoneOf(s.Live, primary)
 	var sameZone ident.InstanceName
--- a/kernel/views/views.go
+++ b/kernel/views/views.go
@@ -61,7 +61,8 @@
 	return name != "" && (v.Primary == name || v.Backup == name)
 }
 
-// Partner returns the backup for the primary's name, and the primary for any other name.
+// Partner returns the other member of the view, or "" if there is no backup. name must be
+// a member; for any other name, Partner returns the primary.
 func (v View) Partner(name ident.InstanceName) ident.InstanceName {
 	if v.Primary == name {
 		return v.Backup
--- a/kernel/views/views_test.go
+++ b/kernel/views/views_test.go
@@ -100,6 +100,7 @@
 	})
 }
 
+// TestJudge tests State.Apply.
 func TestJudge(t *testing.T) {
 	s := &State{}
 	s.Apply([]Proposal{{Shard: 1, Primary: "a", Backup: "b"}}, 1, 0)
