--- a/croftmoor/home/home.go
+++ b/croftmoor/home/home.go
@@ -147,7 +147,7 @@
 	view := h.view(views.ShardOf(string(request.ID)))
 	switch view.Primary {
 	case "":
-		return once.Entry{}, fault.New("home.Claim", once.NotReady, "the id's shard has no primary yet")
+		return once.Entry{}, fault.New("home.Claim", once.NotReady, "nobody leads the id's shard yet")
 	case h.Self:
 		return h.ClaimHere(ctx, request)
 	}
@@ -196,19 +196,19 @@
 	return h.Caller.Record(ctx, backup, record)
 }
 
-// guard returns the once.Guard of this instance. It refuses when the log has been silent
-// for too long and others may have started the shard anew without this primary's
-// knowledge.
+// guard returns the once.Guard of this instance. It refuses while the log has been silent
+// for longer than maxLogSilence and other instances may have started the shard without
+// its state. The reasons appear in decision lines, so their texts must not change.
 func (h *Home) guard() once.Guard {
-	return func(alone bool) string {
+	return func(withoutBackup bool) string {
 		if !h.logSilent() {
 			return ""
 		}
-		if alone {
-			return "no backup, and no contact with the platform's log"
+		if withoutBackup {
+			return "alone and out of touch with the platform's log"
 		}
 		if !h.Health.MostReached() {
-			return "no contact with the platform's log and most instances"
+			return "cut off from the platform's log and from most instances"
 		}
 		return ""
 	}
@@ -298,21 +298,21 @@
 	return list
 }
 
-// Counts returns how many shards this instance leads, how many it backs up, and the number
-// of ids in its shards.
-func (h *Home) Counts() (leads, backs, ids int) {
+// Counts returns the number of shards of which this instance is the primary, the number
+// of which it is the backup, and the number of ids in all its shards.
+func (h *Home) Counts() (primaries, backups, ids int) {
 	for i := range h.shards {
 		c := &h.shards[i]
 		c.mu.Lock()
 		view := c.shard.View()
 		if view.Primary == h.Self {
-			leads++
+			primaries++
 		}
 		if view.Backup == h.Self {
-			backs++
+			backups++
 		}
 		ids += c.shard.Len()
 		c.mu.Unlock()
 	}
-	return leads, backs, ids
+	return primaries, backups, ids
 }
--- a/croftmoor/home/lease.go
+++ b/croftmoor/home/lease.go
@@ -65,8 +65,8 @@
 	return ident.Fence(view.Epoch), view.Primary == h.Self && c.leaseConfirmed > 0 && fresh
 }
 
-// Primary returns the primary of the role's shard, or "" if there is none.
-func (h *Home) Primary(role string) ident.InstanceName {
+// PrimaryOf returns the primary of the role's shard, or "" if there is none.
+func (h *Home) PrimaryOf(role string) ident.InstanceName {
 	return h.view(views.ShardOf(role)).Primary
 }
 
--- a/croftmoor/home/mover.go
+++ b/croftmoor/home/mover.go
@@ -125,7 +125,7 @@
 	IDs   int
 }
 
-// Statuses returns the shards that this instance leads or backs up.
+// Statuses returns the shards of which this instance is the primary or the backup.
 func (h *Home) Statuses() []Status {
 	var list []Status
 	for i := range h.shards {
--- a/kernel/once/once.go
+++ b/kernel/once/once.go
@@ -161,8 +161,8 @@
 }
 
 // Guard returns the reason why the primary must not grant although its view allows it, or
-// "" if it may grant. alone is true if the view has no backup.
-type Guard func(alone bool) string
+// "" if it may grant. withoutBackup is true if the view has no backup.
+type Guard func(withoutBackup bool) string
 
 // Request asks for the right to run an id.
 type Request struct {
@@ -179,17 +179,18 @@
 
 // Claim asks for the right to run an id. If the returned entry is Pending, the claim is
 // new: the caller sends the Op to the backup, then calls Confirm or Abort. Any other
-// entry existed before, or is Unknown after a loss of state.
+// entry existed before, or is Unknown after a loss of state. The texts of its errors, and
+// of Confirm's and Record's, appear in decision lines and must not change.
 func (s *Shard) Claim(request Request, now clock.Millis, guard Guard) (Entry, Op, error) {
 	if s.view.Primary != s.Self {
-		return Entry{}, Op{}, fault.New("once.Claim", NotPrimary, "the shard's primary is "+string(s.view.Primary))
+		return Entry{}, Op{}, fault.New("once.Claim", NotPrimary, "led by "+string(s.view.Primary))
 	}
 	if !s.HasState() || s.NeedsInstall() {
-		return Entry{}, Op{}, fault.New("once.Claim", NotReady, "the shard's state is not installed at the primary and its backup")
+		return Entry{}, Op{}, fault.New("once.Claim", NotReady, "the shard's state is on its way")
 	}
 	if known, ok := s.entries[request.ID]; ok && now-known.At <= s.RepeatWindow {
 		if known.Status == Pending {
-			return Entry{}, Op{}, fault.New("once.Claim", NotReady, "another claim of the id waits for the backup")
+			return Entry{}, Op{}, fault.New("once.Claim", NotReady, "the id waits for the backup")
 		}
 		return known, Op{}, nil
 	}
@@ -211,7 +212,7 @@
 func (s *Shard) Confirm(op Op) error {
 	entry, ok := s.entries[op.Entry.ID]
 	if s.view.Epoch != op.Epoch || !ok || !entry.sameAttempt(op.Entry) {
-		return fault.New("once.Confirm", OldEpoch, "the shard's view changed during the claim")
+		return fault.New("once.Confirm", OldEpoch, "the view changed during the claim")
 	}
 	entry.Status = Granted
 	s.entries[op.Entry.ID] = entry
@@ -275,10 +276,10 @@
 // primary and this instance the backup in the Op's epoch, and NotReady before Install.
 func (s *Shard) Record(op Op, from ident.InstanceName) error {
 	if s.view.Epoch != op.Epoch || s.view.Primary != from || s.view.Backup != s.Self {
-		return fault.New("once.Record", OldEpoch, "this instance is not the sender's backup in that epoch")
+		return fault.New("once.Record", OldEpoch, "not the backup in that epoch")
 	}
 	if !s.HasState() {
-		return fault.New("once.Record", NotReady, "the backup has not installed the shard's state")
+		return fault.New("once.Record", NotReady, "the state is not installed")
 	}
 	if op.Drop {
 		if entry, ok := s.entries[op.Entry.ID]; ok && entry.sameAttempt(op.Entry) {
--- a/kernel/once/once_test.go
+++ b/kernel/once/once_test.go
@@ -72,7 +72,7 @@
 	return rapid.SampledFrom(fit).Draw(t, "shard")
 }
 
-func leads(s *Shard) bool { return s.View().Primary == s.Self }
+func isPrimary(s *Shard) bool { return s.View().Primary == s.Self }
 
 // propose draws a view that the policy allows: based on the proposer's own view, and only
 // from an instance that holds the state.
@@ -118,7 +118,7 @@
 
 func (m *shardModel) claim(t *rapid.T) {
 	id := ident.RequestID(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "id"))
-	primary := m.drawShard(t, leads)
+	primary := m.drawShard(t, isPrimary)
 	if primary == nil {
 		return
 	}
@@ -165,7 +165,7 @@
 }
 
 func (m *shardModel) settle(t *rapid.T) {
-	primary := m.drawShard(t, leads)
+	primary := m.drawShard(t, isPrimary)
 	if primary == nil {
 		return
 	}
