--- a/kernel/loads/loads_test.go
+++ b/kernel/loads/loads_test.go
@@ -101,8 +101,8 @@
 	return w
 }
 
-// advanceVersion raises the newest version of a model, with a waiting step that needs the version
-// before it and an expected step that needs the new one.
+// advanceVersion raises the newest version of a model. A waiting step needs the version
+// before it, and an expected step needs the new one.
 func (w *world) advanceVersion(n int) {
 	m := &w.models[n]
 	m.Newest++
