--- a/croftmoor/relay/relay.go
+++ b/croftmoor/relay/relay.go
@@ -36,26 +36,26 @@
 }
 
 const (
-	// tries is how many followers are asked at most, nearTries of them before one of
+	// maxFollowers is how many followers are asked at most, nearTries of them before one of
 	// another availability zone: all of a zone may have started at once.
-	tries     = 4
-	nearTries = 2
-	// nextTerm is how long a follower may take beyond the time for which an answer may be
+	maxFollowers  = 4
+	nearFollowers = 2
+	// hedgeDelay is how long a follower may take beyond the time for which an answer may be
 	// held, before the next one is asked beside it; a page of results takes some 10 ms, and
 	// some 0.5 s while the log is slow.
-	nextTerm = 700 * clock.Millis(1)
-	// answerTerm is how long all of them may take. Callers wait 1.5 s beyond what they allow,
+	hedgeDelay = 700 * clock.Millis(1)
+	// totalTimeout is how long all of them may take. Callers wait 1.5 s beyond what they allow,
 	// and a page is long.
-	answerTerm = 1300 * clock.Millis(1)
-	// endTerm bounds the end of a job at one follower, which is written to the log.
-	endTerm = 3 * clock.Second
+	totalTimeout = 1300 * clock.Millis(1)
+	// endTimeout bounds the end of a job at one follower, which is written to the log.
+	endTimeout = 3 * clock.Second
 )
 
-// terms bound the asking of followers.
-type terms struct {
-	// next is how long one is waited for before the next one is asked, too.
-	next  clock.Millis
-	whole clock.Millis
+// timeouts bound the asking of followers.
+type timeouts struct {
+	// hedge is how long one is waited for before the hedge one is asked, too.
+	hedge clock.Millis
+	total clock.Millis
 }
 
 // Relay passes calls on to a follower. Set the fields before use.
@@ -89,7 +89,7 @@
 		return r.Local.Read(ctx, by, job, from, wait)
 	}
 	until := r.Clock.Mono() + wait
-	answer, err := ask(ctx, r, job, terms{next: wait + nextTerm, whole: wait + answerTerm}, intake.Unsure, func(ctx context.Context, to ident.Address) (*pageWire, error) {
+	answer, err := ask(ctx, r, job, timeouts{hedge: wait + hedgeDelay, total: wait + totalTimeout}, intake.Unsure, func(ctx context.Context, to ident.Address) (*pageWire, error) {
 		left := max(until-r.Clock.Mono(), 0)
 		return rpcs.Call[readWire, pageWire](ctx, r.client, to, readPath, &readWire{Organisation: string(by), Job: string(job), From: from, WaitMillis: int64(left)})
 	})
@@ -104,7 +104,7 @@
 	if r.Knows() {
 		return r.Local.Body(ctx, by, job, id)
 	}
-	answer, err := ask(ctx, r, job, terms{next: nextTerm, whole: answerTerm}, intake.Unsure, func(ctx context.Context, to ident.Address) (*bodyWire, error) {
+	answer, err := ask(ctx, r, job, timeouts{hedge: hedgeDelay, total: totalTimeout}, intake.Unsure, func(ctx context.Context, to ident.Address) (*bodyWire, error) {
 		return rpcs.Call[itemWire, bodyWire](ctx, r.client, to, bodyPath, &itemWire{Organisation: string(by), Job: string(job), Item: string(id)})
 	})
 	if err != nil {
@@ -118,7 +118,7 @@
 	if r.Knows() {
 		return r.Local.End(ctx, by, job)
 	}
-	_, err := ask(ctx, r, job, terms{next: endTerm, whole: tries * endTerm}, intake.Uncertain, func(ctx context.Context, to ident.Address) (*emptyWire, error) {
+	_, err := ask(ctx, r, job, timeouts{hedge: endTimeout, total: maxFollowers * endTimeout}, intake.Uncertain, func(ctx context.Context, to ident.Address) (*emptyWire, error) {
 		return rpcs.Call[jobWire, emptyWire](ctx, r.client, to, endPath, &jobWire{Organisation: string(by), Job: string(job)})
 	})
 	return err
@@ -139,56 +139,56 @@
 // One that is late is waited for beside the next: it has read more of what is asked for
 // than one that begins. When it was given up, each of them began anew until the caller
 // had left.
-func ask[A any](ctx context.Context, r *Relay, job ident.Job, t terms, unsure intake.Kind, call func(context.Context, ident.Address) (*A, error)) (*A, error) {
-	left := candidates(r.Followers(string(job)))
-	if len(left) == 0 {
+func ask[A any](ctx context.Context, r *Relay, job ident.Job, t timeouts, defaultKind intake.Kind, call func(context.Context, ident.Address) (*A, error)) (*A, error) {
+	remaining := candidates(r.Followers(string(job)))
+	if len(remaining) == 0 {
 		return nil, fault.New("relay.ask", intake.Unsure, "no instance is known that follows the ledger")
 	}
-	replies := make(chan reply[A], len(left))
-	began := r.Clock.Mono()
+	replies := make(chan reply[A], len(remaining))
+	startedAt := r.Clock.Mono()
 	var group conc.WaitGroup
 	defer group.Wait()
-	callCtx, cancel := context.WithTimeout(ctx, t.whole.Duration())
+	callCtx, cancel := context.WithTimeout(ctx, t.total.Duration())
 	defer cancel()
-	// last is what was heard last; doubt stands above it: what a follower may have done was
+	// lastErr is what was heard lastErr; uncertainErr stands above it: what a follower may have done was
 	// perhaps done.
-	var last, doubt error
-	silent := func() error {
-		return fault.New("relay.ask", unsure, "an instance that follows the ledger has not answered in time")
+	var lastErr, uncertainErr error
+	timeoutErr := func() error {
+		return fault.New("relay.ask", defaultKind, "an instance that follows the ledger has not answered in time")
 	}
-	var late <-chan time.Time
-	for waiting := 0; ; {
-		if late == nil && len(left) > 0 && callCtx.Err() == nil {
-			follower := left[0]
-			left, late = left[1:], r.Clock.After(t.next)
-			waiting++
+	var hedgeTimer <-chan time.Time
+	for inFlight := 0; ; {
+		if hedgeTimer == nil && len(remaining) > 0 && callCtx.Err() == nil {
+			follower := remaining[0]
+			remaining, hedgeTimer = remaining[1:], r.Clock.After(t.hedge)
+			inFlight++
 			group.Go(func() {
 				answer, err := call(callCtx, follower.Address)
 				replies <- reply[A]{from: follower, answer: answer, err: err}
 			})
 		}
-		if waiting == 0 {
-			return nil, cmp.Or(doubt, last, silent())
+		if inFlight == 0 {
+			return nil, cmp.Or(uncertainErr, lastErr, timeoutErr())
 		}
 		select {
 		case <-callCtx.Done():
-			return nil, cmp.Or(doubt, silent())
-		case <-late:
-			late = nil
+			return nil, cmp.Or(uncertainErr, timeoutErr())
+		case <-hedgeTimer:
+			hedgeTimer = nil
 		case got := <-replies:
 			if got.err == nil {
 				return got.answer, nil
 			}
-			waiting, late = waiting-1, nil
-			kind := kindOf(got.err, unsure)
-			last = fault.Wrap("relay.ask", kind, got.err, "through "+string(got.from.Name))
-			r.note(job, got.from, fmt.Sprintf("no answer after %d of %d ms, caller left %t: %s", r.Clock.Mono()-began, t.whole, ctx.Err() != nil, got.err))
+			inFlight, hedgeTimer = inFlight-1, nil
+			kind := kindOf(got.err, defaultKind)
+			lastErr = fault.Wrap("relay.ask", kind, got.err, "through "+string(got.from.Name))
+			r.recordRetry(job, got.from, fmt.Sprintf("no answer after %d of %d ms, caller left %t: %s", r.Clock.Mono()-startedAt, t.total, ctx.Err() != nil, got.err))
 			switch kind {
 			case intake.Uncertain:
-				doubt = last
+				uncertainErr = lastErr
 			case intake.Unsure:
 			default:
-				return nil, last
+				return nil, lastErr
 			}
 		}
 	}
@@ -197,21 +197,21 @@
 // candidates returns the followers to ask, first first: those of the own zone, with one of
 // another zone among them.
 func candidates(followers []elect.Member) []elect.Member {
-	far := slices.IndexFunc(followers, func(m elect.Member) bool { return m.Zone != followers[0].Zone })
-	if far > nearTries {
-		followers = slices.Insert(slices.Delete(slices.Clone(followers), far, far+1), nearTries, followers[far])
+	otherZone := slices.IndexFunc(followers, func(m elect.Member) bool { return m.Zone != followers[0].Zone })
+	if otherZone > nearFollowers {
+		followers = slices.Insert(slices.Delete(slices.Clone(followers), otherZone, otherZone+1), nearFollowers, followers[otherZone])
 	}
-	return followers[:min(len(followers), tries)]
+	return followers[:min(len(followers), maxFollowers)]
 }
 
 // kindOf returns the kind that a follower gave to an error, or unsure if it gave none.
-func kindOf(err error, unsure intake.Kind) intake.Kind {
-	if told := rpcs.KindOf(err); told != "" {
-		return intake.Kind(told)
+func kindOf(err error, defaultKind intake.Kind) intake.Kind {
+	if kind := rpcs.KindOf(err); kind != "" {
+		return intake.Kind(kind)
 	}
-	return unsure
+	return defaultKind
 }
 
-func (r *Relay) note(job ident.Job, follower elect.Member, reason string) {
+func (r *Relay) recordRetry(job ident.Job, follower elect.Member, reason string) {
 	r.Trail.Add(trail.Decision{ID: string(job), Action: trail.Retry, Choice: string(follower.Name), Reason: reason})
 }
--- a/croftmoor/relay/relay_test.go
+++ b/croftmoor/relay/relay_test.go
@@ -19,39 +19,39 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// answers stands in for what an instance knows of the ledger.
-type answers struct {
+// fakeJobs stands in for what an instance knows of the ledger.
+type fakeJobs struct {
 	page intake.Page
 	err  error
 	ends int
 	// by is the organisation of the last caller.
 	by ident.Organisation
-	// takes is how long a read takes.
-	takes clock.Millis
+	// latency is how long a read latency.
+	latency clock.Millis
 }
 
-func (a *answers) Submit(context.Context, intake.Submission) error { return a.err }
+func (a *fakeJobs) Submit(context.Context, intake.Submission) error { return a.err }
 
-func (a *answers) Read(ctx context.Context, by ident.Organisation, _ ident.Job, _ int, _ clock.Millis) (intake.Page, error) {
+func (a *fakeJobs) Read(ctx context.Context, by ident.Organisation, _ ident.Job, _ int, _ clock.Millis) (intake.Page, error) {
 	a.by = by
-	clock.New().Sleep(ctx, a.takes)
+	clock.New().Sleep(ctx, a.latency)
 	return a.page, a.err
 }
 
-func (a *answers) Body(_ context.Context, by ident.Organisation, _ ident.Job, _ ident.Item) ([]byte, error) {
+func (a *fakeJobs) Body(_ context.Context, by ident.Organisation, _ ident.Job, _ ident.Item) ([]byte, error) {
 	a.by = by
 	return []byte("body"), a.err
 }
 
-func (a *answers) End(ctx context.Context, by ident.Organisation, _ ident.Job) error {
+func (a *fakeJobs) End(ctx context.Context, by ident.Organisation, _ ident.Job) error {
 	a.by = by
 	a.ends++
-	clock.New().Sleep(ctx, a.takes)
+	clock.New().Sleep(ctx, a.latency)
 	return a.err
 }
 
 // follower serves what a knows and returns where.
-func follower(t *testing.T, a *answers) elect.Member {
+func follower(t *testing.T, a *fakeJobs) elect.Member {
 	t.Helper()
 	mux := http.NewServeMux()
 	Handle(mux, a)
@@ -64,7 +64,7 @@
 
 func relayTo(followers ...elect.Member) *Relay {
 	r := &Relay{
-		Local: &answers{err: fault.New("local", intake.Unsure, "")}, Knows: func() bool { return false }, Clock: clock.New(),
+		Local: &fakeJobs{err: fault.New("local", intake.Unsure, "")}, Knows: func() bool { return false }, Clock: clock.New(),
 		Followers: func(string) []elect.Member { return followers },
 		Trail:     &trail.Trail{Clock: clock.New()},
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-func wantOrganisation(t *testing.T, a *answers, want ident.Organisation) {
+func wantOrganisation(t *testing.T, a *fakeJobs, want ident.Organisation) {
 	t.Helper()
 	if a.by != want {
 		t.Errorf("asked by %q, want %q", a.by, want)
@@ -92,55 +92,55 @@
 		{ID: "b", State: jobs.Terminated},
 	}}
 	unsure := fault.New("f", intake.Unsure, "in arrears")
-	nobody := elect.Member{Name: "gone", Address: "127.0.0.1:1"}
+	unreachable := elect.Member{Name: "gone", Address: "127.0.0.1:1"}
 	t.Run("results come unchanged", func(t *testing.T) {
-		got, err := relayTo(follower(t, &answers{page: page})).Read(t.Context(), "", "j", 0, 0)
+		got, err := relayTo(follower(t, &fakeJobs{page: page})).Read(t.Context(), "", "j", 0, 0)
 		if err != nil || !reflect.DeepEqual(got, page) {
 			t.Errorf("%+v, error %v, want %+v", got, err, page)
 		}
 	})
 	t.Run("a follower that is gone or unsure is passed over", func(t *testing.T) {
-		r := relayTo(nobody, follower(t, &answers{err: unsure}), follower(t, &answers{page: page}))
+		r := relayTo(unreachable, follower(t, &fakeJobs{err: unsure}), follower(t, &fakeJobs{page: page}))
 		if got, err := r.Read(t.Context(), "", "j", 0, 0); err != nil || got.Total != 3 {
 			t.Errorf("%+v, error %v", got, err)
 		}
 	})
 	t.Run("an unknown job is a follower's word", func(t *testing.T) {
-		second := &answers{page: page}
-		_, err := relayTo(follower(t, &answers{err: fault.New("f", intake.Unknown, "no job")}), follower(t, second)).Read(t.Context(), "", "j", 0, 0)
+		second := &fakeJobs{page: page}
+		_, err := relayTo(follower(t, &fakeJobs{err: fault.New("f", intake.Unknown, "no job")}), follower(t, second)).Read(t.Context(), "", "j", 0, 0)
 		wantKind(t, err, intake.Unknown)
 	})
 	t.Run("nobody to ask is no word on the job", func(t *testing.T) {
 		_, err := relayTo().Read(t.Context(), "", "j", 0, 0)
 		wantKind(t, err, intake.Unsure)
-		_, err = relayTo(nobody).Body(t.Context(), "", "j", "a")
+		_, err = relayTo(unreachable).Body(t.Context(), "", "j", "a")
 		wantKind(t, err, intake.Unsure)
 	})
 	t.Run("an end without an answer is uncertain", func(t *testing.T) {
-		wantKind(t, relayTo(nobody).End(t.Context(), "", "j"), intake.Uncertain)
+		wantKind(t, relayTo(unreachable).End(t.Context(), "", "j"), intake.Uncertain)
 	})
 	t.Run("an end is acknowledged by one follower", func(t *testing.T) {
-		first, second := &answers{}, &answers{}
+		first, second := &fakeJobs{}, &fakeJobs{}
 		if err := relayTo(follower(t, first), follower(t, second)).End(t.Context(), "", "j"); err != nil || first.ends != 1 || second.ends != 0 {
 			t.Errorf("ends %d and %d, error %v", first.ends, second.ends, err)
 		}
 	})
 	t.Run("a follower learns whose call it is", func(t *testing.T) {
-		to := &answers{page: page}
-		r := relayTo(follower(t, to))
+		jobsOfFollower := &fakeJobs{page: page}
+		r := relayTo(follower(t, jobsOfFollower))
 		_, readErr := r.Read(t.Context(), "read", "j", 0, 0)
-		wantOrganisation(t, to, "read")
+		wantOrganisation(t, jobsOfFollower, "read")
 		_, bodyErr := r.Body(t.Context(), "body", "j", "a")
-		wantOrganisation(t, to, "body")
+		wantOrganisation(t, jobsOfFollower, "body")
 		endErr := r.End(t.Context(), "end", "j")
-		wantOrganisation(t, to, "end")
+		wantOrganisation(t, jobsOfFollower, "end")
 		if readErr != nil || bodyErr != nil || endErr != nil {
 			t.Errorf("errors %v, %v, %v", readErr, bodyErr, endErr)
 		}
 	})
 	t.Run("who knows the ledger answers itself", func(t *testing.T) {
-		r := relayTo(nobody)
-		r.Local, r.Knows = &answers{page: page}, func() bool { return true }
+		r := relayTo(unreachable)
+		r.Local, r.Knows = &fakeJobs{page: page}, func() bool { return true }
 		if got, err := r.Read(t.Context(), "", "j", 0, 0); err != nil || got.Total != 3 {
 			t.Errorf("%+v, error %v", got, err)
 		}
@@ -155,13 +155,13 @@
 		first, second clock.Millis
 		want          ident.Item
 	}{
-		{"one that is late is still waited for while the next reads", nextTerm + 200, answerTerm, "a"},
-		{"the next one answers for one that is silent", answerTerm, 0, "b"},
+		{"one that is late is still waited for while the next reads", hedgeDelay + 200, totalTimeout, "a"},
+		{"the next one answers for one that is silent", totalTimeout, 0, "b"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			r := relayTo(follower(t, &answers{page: page, takes: tc.first}), follower(t, &answers{page: other, takes: tc.second}))
+			r := relayTo(follower(t, &fakeJobs{page: page, latency: tc.first}), follower(t, &fakeJobs{page: other, latency: tc.second}))
 			got, err := r.Read(t.Context(), "", "j", 0, 0)
 			if err != nil || len(got.Results) != 1 || got.Results[0].ID != tc.want {
 				t.Errorf("%+v, error %v, want %s", got, err, tc.want)
@@ -170,13 +170,13 @@
 	}
 	t.Run("nobody waits beyond the time that a caller has", func(t *testing.T) {
 		t.Parallel()
-		slow := func() elect.Member { return follower(t, &answers{page: page, takes: 3 * answerTerm}) }
+		slow := func() elect.Member { return follower(t, &fakeJobs{page: page, latency: 3 * totalTimeout}) }
 		r := relayTo(slow(), slow(), slow())
-		began := r.Clock.Mono()
+		startedAt := r.Clock.Mono()
 		_, err := r.Read(t.Context(), "", "j", 0, 0)
 		wantKind(t, err, intake.Unsure)
-		if took := r.Clock.Mono() - began; took > answerTerm+100 {
-			t.Errorf("refused after %d ms, want %d", took, answerTerm)
+		if elapsed := r.Clock.Mono() - startedAt; elapsed > totalTimeout+100 {
+			t.Errorf("refused after %d ms, want %d", elapsed, totalTimeout)
 		}
 	})
 }
@@ -216,21 +216,21 @@
 func TestEndThatMayHaveBeenDone(t *testing.T) {
 	unsure := fault.New("f", intake.Unsure, "in arrears")
 	uncertain := fault.New("f", intake.Uncertain, "no word from the log")
-	nobody := elect.Member{Name: "gone", Address: "127.0.0.1:1"}
+	unreachable := elect.Member{Name: "gone", Address: "127.0.0.1:1"}
 	cases := []struct {
 		name      string
 		followers []elect.Member
 		want      intake.Kind
 	}{
-		{"the first one's answer is lost", []elect.Member{nobody, follower(t, &answers{err: unsure})}, intake.Uncertain},
-		{"the first one can't say whether it was done", []elect.Member{follower(t, &answers{err: uncertain}), follower(t, &answers{err: unsure})}, intake.Uncertain},
-		{"the first one is silent", []elect.Member{follower(t, &answers{takes: 20 * clock.Second}), follower(t, &answers{err: unsure})}, intake.Uncertain},
-		{"none of them has done it", []elect.Member{follower(t, &answers{err: unsure}), follower(t, &answers{err: unsure})}, intake.Unsure},
+		{"the first one's answer is lost", []elect.Member{unreachable, follower(t, &fakeJobs{err: unsure})}, intake.Uncertain},
+		{"the first one can't say whether it was done", []elect.Member{follower(t, &fakeJobs{err: uncertain}), follower(t, &fakeJobs{err: unsure})}, intake.Uncertain},
+		{"the first one is silent", []elect.Member{follower(t, &fakeJobs{latency: 20 * clock.Second}), follower(t, &fakeJobs{err: unsure})}, intake.Uncertain},
+		{"none of them has done it", []elect.Member{follower(t, &fakeJobs{err: unsure}), follower(t, &fakeJobs{err: unsure})}, intake.Unsure},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			ctx, cancel := context.WithTimeout(t.Context(), (endTerm + clock.Second).Duration())
+			ctx, cancel := context.WithTimeout(t.Context(), (endTimeout + clock.Second).Duration())
 			defer cancel()
 			wantKind(t, relayTo(tc.followers...).End(ctx, "", "j"), tc.want)
 		})
--- a/croftmoor/rpcs/rpcs.go
+++ b/croftmoor/rpcs/rpcs.go
@@ -23,9 +23,9 @@
 	// pingAfter is how long a connection may be silent before it is checked, and
 	// pingTimeout how long the check may take, so that a connection that leads
 	// nowhere any more is given up.
-	pingAfter   = 2 * clock.Second
-	pingTimeout = 1 * clock.Second
-	maxMessage  = 256 << 20
+	pingAfter       = 2 * clock.Second
+	pingTimeout     = 1 * clock.Second
+	maxMessageBytes = 256 << 20
 )
 
 // codec encodes wire types as MessagePack, structs as arrays: their fields may
@@ -68,7 +68,7 @@
 // Call does one procedure at a peer. Its errors are connect's.
 func Call[Q, A any](ctx context.Context, client *http.Client, address ident.Address, path string, message *Q) (*A, error) {
 	caller := connect.NewClient[Q, A](client, "http://"+string(address)+path,
-		connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxMessage))
+		connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxMessageBytes))
 	answer, err := caller.CallUnary(ctx, connect.NewRequest(message))
 	if err != nil {
 		return nil, err
@@ -77,11 +77,11 @@
 }
 
 // Handle registers one procedure; mapped turns its errors into connect's.
-func Handle[Q, A any](mux *http.ServeMux, path string, mapped func(error) error, do func(context.Context, *Q) (*A, error)) {
-	handler := connect.NewUnaryHandler(path, func(ctx context.Context, q *connect.Request[Q]) (*connect.Response[A], error) {
-		answer, err := do(ctx, q.Msg)
+func Handle[Q, A any](mux *http.ServeMux, path string, mapErr func(error) error, handle func(context.Context, *Q) (*A, error)) {
+	handler := connect.NewUnaryHandler(path, func(ctx context.Context, request *connect.Request[Q]) (*connect.Response[A], error) {
+		answer, err := handle(ctx, request.Msg)
 		if err != nil {
-			return nil, mapped(err)
+			return nil, mapErr(err)
 		}
 		return connect.NewResponse(answer), nil
 	}, connect.WithCodec(codec{}))
@@ -101,9 +101,9 @@
 // KindOf returns the kind that the peer gave to an error, or "" if the error is not
 // the peer's own.
 func KindOf(err error) string {
-	var answered *connect.Error
-	if !eris.As(err, &answered) {
+	var connectErr *connect.Error
+	if !eris.As(err, &connectErr) {
 		return ""
 	}
-	return answered.Meta().Get(kindHeader)
+	return connectErr.Meta().Get(kindHeader)
 }
