--- a/croftmoor/relay/relay.go
+++ b/croftmoor/relay/relay.go
@@ -62,8 +62,8 @@
 type Relay struct {
 	// Local answers where this instance knows the ledger itself, and takes jobs.
 	Local Jobs
-	// Knows tells whether this instance has read the ledger to its end.
-	Knows func() bool
+	// LedgerCurrent tells whether this instance has read the ledger to its end.
+	LedgerCurrent func() bool
 	// Followers returns the others that follow the ledger, those to ask first first.
 	Followers func(key string) []elect.Member
 	Clock     *clock.Clock
@@ -85,7 +85,7 @@
 
 // Read returns results of a job.
 func (r *Relay) Read(ctx context.Context, by ident.Organisation, job ident.Job, from int, wait clock.Millis) (intake.Page, error) {
-	if r.Knows() {
+	if r.LedgerCurrent() {
 		return r.Local.Read(ctx, by, job, from, wait)
 	}
 	until := r.Clock.Mono() + wait
@@ -101,7 +101,7 @@
 
 // Body returns the body of an item.
 func (r *Relay) Body(ctx context.Context, by ident.Organisation, job ident.Job, id ident.Item) ([]byte, error) {
-	if r.Knows() {
+	if r.LedgerCurrent() {
 		return r.Local.Body(ctx, by, job, id)
 	}
 	answer, err := ask(ctx, r, job, timeouts{hedge: hedgeDelay, total: totalTimeout}, intake.Unsure, func(ctx context.Context, to ident.Address) (*bodyWire, error) {
@@ -115,7 +115,7 @@
 
 // End closes a job.
 func (r *Relay) End(ctx context.Context, by ident.Organisation, job ident.Job) error {
-	if r.Knows() {
+	if r.LedgerCurrent() {
 		return r.Local.End(ctx, by, job)
 	}
 	_, err := ask(ctx, r, job, timeouts{hedge: endTimeout, total: maxFollowers * endTimeout}, intake.Uncertain, func(ctx context.Context, to ident.Address) (*emptyWire, error) {
--- a/croftmoor/relay/relay_test.go
+++ b/croftmoor/relay/relay_test.go
@@ -64,7 +64,7 @@
 
 func relayTo(followers ...elect.Member) *Relay {
 	r := &Relay{
-		Local: &fakeJobs{err: fault.New("local", intake.Unsure, "")}, Knows: func() bool { return false }, Clock: clock.New(),
+		Local: &fakeJobs{err: fault.New("local", intake.Unsure, "")}, LedgerCurrent: func() bool { return false }, Clock: clock.New(),
 		Followers: func(string) []elect.Member { return followers },
 		Trail:     &trail.Trail{Clock: clock.New()},
 	}
@@ -140,7 +140,7 @@
 	})
 	t.Run("who knows the ledger answers itself", func(t *testing.T) {
 		r := relayTo(unreachable)
-		r.Local, r.Knows = &fakeJobs{page: page}, func() bool { return true }
+		r.Local, r.LedgerCurrent = &fakeJobs{page: page}, func() bool { return true }
 		if got, err := r.Read(t.Context(), "", "j", 0, 0); err != nil || got.Total != 3 {
 			t.Errorf("%+v, error %v", got, err)
 		}
