--- a/croftmoor/relay/relay.go
+++ b/croftmoor/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay answers the callers of batch jobs at an instance that does not
-// follow the ledger: it asks one that does. Jobs are taken by every instance itself,
-// since that needs no state and their bodies are large.
+// Package relay serves the callers of batch jobs at an instance that does not follow the
+// ledger: it forwards their calls to an instance that does. Each instance accepts jobs itself,
+// because that needs no ledger state and job bodies are large.
 package relay
 
 import (
@@ -22,7 +22,7 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// Jobs answers the callers of batch jobs.
+// Jobs serves the callers of batch jobs.
 type Jobs interface {
 	Submit(ctx context.Context, s intake.Submission) error
 	Read(ctx context.Context, by ident.Organisation, job ident.Job, from int, wait clock.Millis) (intake.Page, error)
@@ -30,60 +30,66 @@
 	End(ctx context.Context, by ident.Organisation, job ident.Job) error
 }
 
-// Decisions takes a line for each decision.
+// Decisions records decisions.
 type Decisions interface {
 	Add(d trail.Decision)
 }
 
 const (
-	// maxFollowers is how many followers are asked at most, nearTries of them before one of
-	// another availability zone: all of a zone may have started at once.
+	// maxFollowers is how many followers are asked at most. After nearFollowers of one
+	// availability zone a follower of another zone is asked, because all of a zone may have
+	// just started.
 	maxFollowers  = 4
 	nearFollowers = 2
-	// hedgeDelay is how long a follower may take beyond the time for which an answer may be
-	// held, before the next one is asked beside it; a page of results takes some 10 ms, and
-	// some 0.5 s while the log is slow.
+	// hedgeDelay is how long a follower may take, beyond the wait that the caller allows,
+	// before the next follower is asked too.
 	hedgeDelay = 700 * clock.Millis(1)
-	// totalTimeout is how long all of them may take. Callers wait 1.5 s beyond what they allow,
-	// and a page is long.
+	// totalTimeout bounds a call beyond the wait that the caller allows. Callers wait 1.5 s
+	// beyond that wait; the difference is for the transfer of a long page.
 	totalTimeout = 1300 * clock.Millis(1)
-	// endTimeout bounds the end of a job at one follower, which is written to the log.
+	// endTimeout is how long a follower may take to end a job, which it writes to the log,
+	// before the next follower is asked too.
 	endTimeout = 3 * clock.Second
 )
 
-// timeouts bound the asking of followers.
+// timeouts are the time limits of a call to followers.
 type timeouts struct {
-	// hedge is how long one is waited for before the hedge one is asked, too.
+	// hedge is how long a follower may take before the next one is asked too; total bounds the
+	// whole call.
 	hedge clock.Millis
 	total clock.Millis
 }
 
-// Relay passes calls on to a follower. Set the fields before use.
+// Relay forwards calls to followers, which are the instances that follow the ledger. Set the
+// fields and call Setup before use.
 type Relay struct {
-	// Local answers where this instance knows the ledger itself, and takes jobs.
+	// Local accepts all jobs, and serves the other calls while this instance has read the
+	// ledger to its end.
 	Local Jobs
-	// LedgerCurrent tells whether this instance has read the ledger to its end.
+	// LedgerCurrent reports whether this instance has read the ledger to its end.
 	LedgerCurrent func() bool
-	// Followers returns the others that follow the ledger, those to ask first first.
+	// Followers returns the other instances that follow the ledger, in the order in which to
+	// ask them.
 	Followers func(key string) []elect.Member
 	Clock     *clock.Clock
-	// Trail takes a line for each follower that gave no answer of its own.
+	// Trail records each call to a follower that returned an error.
 	Trail Decisions
 
 	client *http.Client
 }
 
-// Setup makes the relay usable.
+// Setup creates the HTTP client.
 func (r *Relay) Setup() {
 	r.client = rpcs.NewClient()
 }
 
-// Submit takes a job.
+// Submit submits a job to this instance.
 func (r *Relay) Submit(ctx context.Context, s intake.Submission) error {
 	return r.Local.Submit(ctx, s)
 }
 
-// Read returns results of a job.
+// Read returns a page of a job's results that begins at index from. It waits up to wait for a
+// result.
 func (r *Relay) Read(ctx context.Context, by ident.Organisation, job ident.Job, from int, wait clock.Millis) (intake.Page, error) {
 	if r.LedgerCurrent() {
 		return r.Local.Read(ctx, by, job, from, wait)
@@ -113,7 +119,7 @@
 	return answer.Body, nil
 }
 
-// End closes a job.
+// End ends a job.
 func (r *Relay) End(ctx context.Context, by ident.Organisation, job ident.Job) error {
 	if r.LedgerCurrent() {
 		return r.Local.End(ctx, by, job)
@@ -124,21 +130,21 @@
 	return err
 }
 
-// reply is what a follower answered, or that it gave no answer.
+// reply is a follower's response, or the error of the call.
 type reply[A any] struct {
 	from   elect.Member
 	answer *A
 	err    error
 }
 
-// ask asks followers until one gives an answer of its own. A follower that can't be
-// sure is an answer only if no other is left; unsure is the kind of an error when
-// a follower gave none, and stands whatever the others say: it may have done what it was
-// asked.
+// ask calls followers until one succeeds or returns a definitive error, which is one of a kind
+// other than Unsure and Uncertain. If none does, ask returns an Uncertain error if there was
+// one, because that follower may have carried out the call, and the last error otherwise. An
+// error without a kind counts as defaultKind.
 //
-// One that is late is waited for beside the next: it has read more of what is asked for
-// than one that begins. When it was given up, each of them began anew until the caller
-// had left.
+// If a follower is late, ask calls the next one and waits for both. The late follower has
+// already read part of the data; if it were cancelled, each follower would start over until
+// the caller's time is up.
 func ask[A any](ctx context.Context, r *Relay, job ident.Job, t timeouts, defaultKind intake.Kind, call func(context.Context, ident.Address) (*A, error)) (*A, error) {
 	remaining := candidates(r.Followers(string(job)))
 	if len(remaining) == 0 {
@@ -150,8 +156,8 @@
 	defer group.Wait()
 	callCtx, cancel := context.WithTimeout(ctx, t.total.Duration())
 	defer cancel()
-	// lastErr is what was heard lastErr; uncertainErr stands above it: what a follower may have done was
-	// perhaps done.
+	// lastErr is the latest follower's error. uncertainErr takes precedence over it: that
+	// follower may have carried out the call.
 	var lastErr, uncertainErr error
 	timeoutErr := func() error {
 		return fault.New("relay.ask", defaultKind, "an instance that follows the ledger has not answered in time")
@@ -181,7 +187,7 @@
 			}
 			inFlight, hedgeTimer = inFlight-1, nil
 			kind := kindOf(got.err, defaultKind)
-			lastErr = fault.Wrap("relay.ask", kind, got.err, "through "+string(got.from.Name))
+			lastErr = fault.Wrap("relay.ask", kind, got.err, "call to instance "+string(got.from.Name))
 			r.recordRetry(job, got.from, fmt.Sprintf("no answer after %d of %d ms, caller left %t: %s", r.Clock.Mono()-startedAt, t.total, ctx.Err() != nil, got.err))
 			switch kind {
 			case intake.Uncertain:
@@ -194,8 +200,9 @@
 	}
 }
 
-// candidates returns the followers to ask, first first: those of the own zone, with one of
-// another zone among them.
+// candidates returns the followers to ask, in order and maxFollowers at most. If the first
+// follower of another zone than the first one's comes after nearFollowers others, it is moved
+// forward to follow those.
 func candidates(followers []elect.Member) []elect.Member {
 	otherZone := slices.IndexFunc(followers, func(m elect.Member) bool { return m.Zone != followers[0].Zone })
 	if otherZone > nearFollowers {
@@ -204,7 +211,7 @@
 	return followers[:min(len(followers), maxFollowers)]
 }
 
-// kindOf returns the kind that a follower gave to an error, or unsure if it gave none.
+// kindOf returns the kind that a follower gave to an error, or defaultKind if it gave none.
 func kindOf(err error, defaultKind intake.Kind) intake.Kind {
 	if kind := rpcs.KindOf(err); kind != "" {
 		return intake.Kind(kind)
--- a/croftmoor/relay/relay_test.go
+++ b/croftmoor/relay/relay_test.go
@@ -19,14 +19,14 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// fakeJobs stands in for what an instance knows of the ledger.
+// fakeJobs serves fixed results and errors.
 type fakeJobs struct {
 	page intake.Page
 	err  error
 	ends int
 	// by is the organisation of the last caller.
 	by ident.Organisation
-	// latency is how long a read latency.
+	// latency is how long Read and End take.
 	latency clock.Millis
 }
 
@@ -50,7 +50,7 @@
 	return a.err
 }
 
-// follower serves what a knows and returns where.
+// follower starts a server for a and returns it as a member.
 func follower(t *testing.T, a *fakeJobs) elect.Member {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -212,7 +212,8 @@
 	}
 }
 
-// An end that a follower may have done is not said to be undone because another can't tell.
+// Guards against reporting a job as not ended because one follower can't tell, while another
+// may have ended it.
 func TestEndThatMayHaveBeenDone(t *testing.T) {
 	unsure := fault.New("f", intake.Unsure, "in arrears")
 	uncertain := fault.New("f", intake.Uncertain, "no word from the log")
--- a/croftmoor/relay/wire.go
+++ b/croftmoor/relay/wire.go
@@ -12,7 +12,7 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// Procedures.
+// Paths of the procedures.
 const (
 	readPath = "/croftmoor.Relay/Read"
 	bodyPath = "/croftmoor.Relay/Body"
@@ -23,7 +23,7 @@
 	Job        string
 	From       int
 	WaitMillis int64
-	// Organisation is the caller's, as the instance that was asked found it.
+	// Organisation is the caller's, as the forwarding instance authenticated it.
 	Organisation string
 }
 
@@ -82,8 +82,8 @@
 	return p
 }
 
-// Handle answers the calls of instances that do not follow the ledger from what
-// this one knows of it.
+// Handle registers the procedures for instances that do not follow the ledger. local serves
+// them.
 func Handle(mux *http.ServeMux, local Jobs) {
 	rpcs.Handle(mux, readPath, toConnect, func(ctx context.Context, w *readWire) (*pageWire, error) {
 		page, err := local.Read(ctx, ident.Organisation(w.Organisation), ident.Job(w.Job), w.From, clock.Millis(w.WaitMillis))
@@ -98,7 +98,7 @@
 	})
 }
 
-// toConnect maps an error to the wire.
+// toConnect converts an error to a connect error that carries its kind.
 func toConnect(err error) error {
 	return rpcs.WithKind(err, string(fault.KindOf[intake.Kind](err)))
 }
--- a/croftmoor/rpcs/rpcs.go
+++ b/croftmoor/rpcs/rpcs.go
@@ -1,5 +1,5 @@
-// Package rpcs is how instances call each other: connect over HTTP/2 without
-// TLS, with messages in MessagePack.
+// Package rpcs makes and serves calls between instances: Connect over HTTP/2 without TLS, with
+// messages in MessagePack.
 package rpcs
 
 import (
@@ -20,16 +20,15 @@
 	dialTimeout = 500 * clock.Millis(1)
 	idlePerPeer = 4
 	idleTimeout = 30 * clock.Second
-	// pingAfter is how long a connection may be silent before it is checked, and
-	// pingTimeout how long the check may take, so that a connection that leads
-	// nowhere any more is given up.
+	// pingAfter is how long a connection may be silent before it is pinged, and pingTimeout
+	// how long the response may take before the connection is closed as dead.
 	pingAfter       = 2 * clock.Second
 	pingTimeout     = 1 * clock.Second
 	maxMessageBytes = 256 << 20
 )
 
-// codec encodes wire types as MessagePack, structs as arrays: their fields may
-// only be added to at the end.
+// codec encodes wire types as MessagePack with structs as arrays: new fields may only be added
+// at the end of a struct.
 type codec struct{}
 
 // Name returns the codec's name on the wire.
@@ -48,8 +47,9 @@
 // Unmarshal decodes a wire type.
 func (codec) Unmarshal(data []byte, message any) error { return msgpack.Unmarshal(data, message) }
 
-// CleartextHTTP2 makes peers speak HTTP/2 without TLS: one connection between two
-// instances carries all calls, and its compressed headers keep small calls small.
+// CleartextHTTP2 returns the protocols for HTTP/2 without TLS, for clients and servers. One
+// connection between two instances carries all calls, and compressed headers keep small calls
+// small.
 func CleartextHTTP2() *http.Protocols {
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
@@ -65,7 +65,7 @@
 	}}
 }
 
-// Call does one procedure at a peer. Its errors are connect's.
+// Call calls the procedure at path of another instance. Its errors are those of connect.
 func Call[Q, A any](ctx context.Context, client *http.Client, address ident.Address, path string, message *Q) (*A, error) {
 	caller := connect.NewClient[Q, A](client, "http://"+string(address)+path,
 		connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxMessageBytes))
@@ -76,7 +76,8 @@
 	return answer.Msg, nil
 }
 
-// Handle registers one procedure; mapped turns its errors into connect's.
+// Handle registers the procedure at path. mapErr converts the errors of handle to connect
+// errors.
 func Handle[Q, A any](mux *http.ServeMux, path string, mapErr func(error) error, handle func(context.Context, *Q) (*A, error)) {
 	handler := connect.NewUnaryHandler(path, func(ctx context.Context, request *connect.Request[Q]) (*connect.Response[A], error) {
 		answer, err := handle(ctx, request.Msg)
@@ -91,15 +92,15 @@
 // kindHeader carries the kind of an error between instances.
 const kindHeader = "Croft-Kind"
 
-// WithKind maps an error and its kind to the wire.
+// WithKind returns a connect error for err that carries kind to the peer.
 func WithKind(err error, kind string) error {
 	mapped := connect.NewError(connect.CodeUnavailable, err)
 	mapped.Meta().Set(kindHeader, kind)
 	return mapped
 }
 
-// KindOf returns the kind that the peer gave to an error, or "" if the error is not
-// the peer's own.
+// KindOf returns the kind that the peer gave to an error, or "" if the error did not come from
+// the peer.
 func KindOf(err error) string {
 	var connectErr *connect.Error
 	if !eris.As(err, &connectErr) {
