--- a/croftmoor/relay/relay.go
+++ b/croftmoor/relay/relay.go
@@ -187,7 +187,7 @@
 			}
 			inFlight, hedgeTimer = inFlight-1, nil
 			kind := kindOf(got.err, defaultKind)
-			lastErr = fault.Wrap("relay.ask", kind, got.err, "call to instance "+string(got.from.Name))
+			lastErr = fault.Wrap("relay.ask", kind, got.err, "through "+string(got.from.Name))
 			r.recordRetry(job, got.from, fmt.Sprintf("no answer after %d of %d ms, caller left %t: %s", r.Clock.Mono()-startedAt, t.total, ctx.Err() != nil, got.err))
 			switch kind {
 			case intake.Uncertain:
--- a/kernel/httpc/httpc.go
+++ b/kernel/httpc/httpc.go
@@ -273,7 +273,7 @@
 	if retryErr == nil {
 		return nil
 	}
-	return fault.Wrap("httpc.retry", Lost, retryErr, "retry failed after a reused connection broke ("+firstErr.Error()+")")
+	return fault.Wrap("httpc.again", Lost, retryErr, "after a reused connection broke ("+firstErr.Error()+")")
 }
 
 // probeTimeout bounds the dial of ConnectionRefused, during which the caller's retry waits.
@@ -330,7 +330,7 @@
 	answer := &Answer{Status: response.StatusCode(), Headers: headers(&response.Header), Body: append([]byte(nil), response.Body()...)}
 	if call.Accept != nil && !call.Accept(answer) {
 		_ = l.Close()
-		return nil, fault.New("httpc.Do", Lost, string(call.Address)+" sent a response that belongs to another call")
+		return nil, fault.New("httpc.Do", Lost, string(call.Address)+" sent the answer of another call")
 	}
 	if call.FreshConn || !stop() {
 		// The connection of a retried call is not kept either: with a server that drops every
@@ -366,7 +366,7 @@
 }
 
 func lostError(call *Call, err error) error {
-	return fault.Wrap("httpc.Do", Lost, err, "no complete response from "+string(call.Address)+" to "+call.Method+" "+call.Path)
+	return fault.Wrap("httpc.Do", Lost, err, "no whole answer from "+string(call.Address)+" to "+call.Method+" "+call.Path)
 }
 
 func headers(head *fasthttp.ResponseHeader) []Header {
--- a/kernel/httpc/stream.go
+++ b/kernel/httpc/stream.go
@@ -67,7 +67,7 @@
 	stream.Headers = headers(&stream.head)
 	if call.Accept != nil && !call.Accept(&Answer{Status: stream.Status, Headers: stream.Headers}) {
 		stream.Close()
-		return nil, fault.New("httpc.Open", Lost, string(call.Address)+" sent a response that belongs to another call")
+		return nil, fault.New("httpc.Open", Lost, string(call.Address)+" sent the answer of another call")
 	}
 	stream.Body = bufio.NewReader(stream.body())
 	return stream, nil
--- a/kernel/tail/http.go
+++ b/kernel/tail/http.go
@@ -51,17 +51,17 @@
 	call := &httpc.Call{Address: l.address, Method: http.MethodPost, Path: "/streams/" + string(stream), Body: data, FreshConn: true}
 	answer, err := l.client.Do(ctx, call)
 	if fault.KindOf[httpc.Kind](err) == httpc.NotSent {
-		return 0, fault.Wrap("tail.Append", Refused, err, "cannot connect to the log")
+		return 0, fault.Wrap("tail.Append", Refused, err, "the log could not be reached")
 	}
 	if err != nil {
-		return 0, fault.Wrap("tail.Append", Unknown, err, "no response from the log")
+		return 0, fault.Wrap("tail.Append", Unknown, err, "the log's answer was lost")
 	}
 	if answer.Status != http.StatusOK {
 		return 0, fault.Wrap("tail.Append", Refused, httpc.StatusError(call, answer), "the log refused the record")
 	}
 	var wire appendedWire
 	if err := json.Unmarshal(answer.Body, &wire); err != nil {
-		return 0, fault.Wrap("tail.Append", Unknown, err, "cannot decode the log's response")
+		return 0, fault.Wrap("tail.Append", Unknown, err, "the log's answer could not be read")
 	}
 	return ident.Offset(wire.Offset), nil
 }
@@ -72,14 +72,14 @@
 	call := &httpc.Call{Address: l.address, Method: http.MethodGet, Path: path}
 	answer, err := l.client.Do(ctx, call)
 	if err != nil {
-		return Batch{}, fault.Wrap("tail.Read", Unavailable, err, "no response from the log")
+		return Batch{}, fault.Wrap("tail.Read", Unavailable, err, "the log could not be read")
 	}
 	if answer.Status != http.StatusOK {
-		return Batch{}, fault.Wrap("tail.Read", Unavailable, httpc.StatusError(call, answer), "the log refused the read")
+		return Batch{}, fault.Wrap("tail.Read", Unavailable, httpc.StatusError(call, answer), "the log refused a read")
 	}
 	var wire batchWire
 	if err := json.Unmarshal(answer.Body, &wire); err != nil {
-		return Batch{}, fault.Wrap("tail.Read", Unavailable, err, "cannot decode the log's response")
+		return Batch{}, fault.Wrap("tail.Read", Unavailable, err, "the log's answer could not be read")
 	}
 	return batchFromWire(wire), nil
 }
--- a/kernel/tail/writer.go
+++ b/kernel/tail/writer.go
@@ -112,7 +112,7 @@
 	}
 	q := w.queue(stream)
 	if q == nil {
-		return 0, fault.New("tail.Write", Refused, "the writer is not running")
+		return 0, fault.New("tail.Write", Refused, "the writer does not run")
 	}
 	q.mu.Lock()
 	q.pending = append(q.pending, e)
@@ -135,9 +135,9 @@
 	}
 	e.abandoned = true
 	if e.sent {
-		return 0, fault.Wrap("tail.Write", Unknown, ctx.Err(), "no response from the log for stream "+string(stream))
+		return 0, fault.Wrap("tail.Write", Unknown, ctx.Err(), "no word from the log on "+string(stream))
 	}
-	return 0, fault.Wrap("tail.Write", Refused, ctx.Err(), "not appended to stream "+string(stream))
+	return 0, fault.Wrap("tail.Write", Refused, ctx.Err(), "not written to "+string(stream))
 }
 
 func (w *Writer) queue(stream ident.Stream) *queue {
