--- a/croftmoor/relay/relay.go
+++ b/croftmoor/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay answers the callers of batch jobs at an instance that does not
-// follow the ledger: it asks one that does. Jobs are taken by every instance itself,
-// since that needs no state and their bodies are large.
+// Package relay serves the callers of batch jobs at an instance that does not follow the
+// ledger: it forwards their calls to an instance that does. Each instance accepts jobs itself,
+// because that needs no ledger state and job bodies are large.
 package relay
 
 import (
@@ -22,7 +22,7 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// Jobs answers the callers of batch jobs.
+// Jobs serves the callers of batch jobs.
 type Jobs interface {
 	Submit(ctx context.Context, s intake.Submission) error
 	Read(ctx context.Context, by ident.Organisation, job ident.Job, from int, wait clock.Millis) (intake.Page, error)
@@ -30,66 +30,72 @@
 	End(ctx context.Context, by ident.Organisation, job ident.Job) error
 }
 
-// Decisions takes a line for each decision.
+// Decisions records decisions.
 type Decisions interface {
 	Add(d trail.Decision)
 }
 
 const (
-	// tries is how many followers are asked at most, nearTries of them before one of
-	// another availability zone: all of a zone may have started at once.
-	tries     = 4
-	nearTries = 2
-	// nextTerm is how long a follower may take beyond the time for which an answer may be
-	// held, before the next one is asked beside it; a page of results takes some 10 ms, and
-	// some 0.5 s while the log is slow.
-	nextTerm = 700 * clock.Millis(1)
-	// answerTerm is how long all of them may take. Callers wait 1.5 s beyond what they allow,
-	// and a page is long.
-	answerTerm = 1300 * clock.Millis(1)
-	// endTerm bounds the end of a job at one follower, which is written to the log.
-	endTerm = 3 * clock.Second
+	// maxFollowers is how many followers are asked at most. After nearFollowers of one
+	// availability zone a follower of another zone is asked, because all of a zone may have
+	// just started.
+	maxFollowers  = 4
+	nearFollowers = 2
+	// hedgeDelay is how long a follower may take, beyond the wait that the caller allows,
+	// before the next follower is asked too.
+	hedgeDelay = 700 * clock.Millis(1)
+	// totalTimeout bounds a call beyond the wait that the caller allows. Callers wait 1.5 s
+	// beyond that wait; the difference is for the transfer of a long page.
+	totalTimeout = 1300 * clock.Millis(1)
+	// endTimeout is how long a follower may take to end a job, which it writes to the log,
+	// before the next follower is asked too.
+	endTimeout = 3 * clock.Second
 )
 
-// terms bound the asking of followers.
-type terms struct {
-	// next is how long one is waited for before the next one is asked, too.
-	next  clock.Millis
-	whole clock.Millis
+// timeouts are the time limits of a call to followers.
+type timeouts struct {
+	// hedge is how long a follower may take before the next one is asked too; total bounds the
+	// whole call.
+	hedge clock.Millis
+	total clock.Millis
 }
 
-// Relay passes calls on to a follower. Set the fields before use.
+// Relay forwards calls to followers, which are the instances that follow the ledger. Set the
+// fields and call Setup before use.
 type Relay struct {
-	// Local answers where this instance knows the ledger itself, and takes jobs.
+	// Local accepts all jobs, and serves the other calls while this instance has read the
+	// ledger to its end.
 	Local Jobs
-	// Knows tells whether this instance has read the ledger to its end.
-	Knows func() bool
-	// Followers returns the others that follow the ledger, those to ask first first.
+	// LedgerCurrent reports whether this instance has read the ledger to its end.
+	LedgerCurrent func() bool
+	// Followers returns the other instances that follow the ledger, in the order in which to
+	// ask them.
 	Followers func(key string) []elect.Member
 	Clock     *clock.Clock
-	// Trail takes a line for each follower that gave no answer of its own.
+	// Trail records each call to a follower that returned an error.
 	Trail Decisions
 
 	client *http.Client
 }
 
-// Setup makes the relay usable.
+// Setup creates the HTTP client.
 func (r *Relay) Setup() {
 	r.client = rpcs.NewClient()
 }
 
-// Submit takes a job.
+// Submit submits a job to this instance.
 func (r *Relay) Submit(ctx context.Context, s intake.Submission) error {
 	return r.Local.Submit(ctx, s)
 }
 
-// Read returns results of a job.
+// Read returns a page of a job's results that begins at index from. It waits up to wait for a
+// result.
 func (r *Relay) Read(ctx context.Context, by ident.Organisation, job ident.Job, from int, wait clock.Millis) (intake.Page, error) {
-	if r.Knows() {
+	if r.LedgerCurrent() {
 		return r.Local.Read(ctx, by, job, from, wait)
 	}
 	until := r.Clock.Mono() + wait
-	answer, err := ask(ctx, r, job, terms{next: wait + nextTerm, whole: wait + answerTerm}, intake.Unsure, func(ctx context.Context, to ident.Address) (*pageWire, error) {
+	answer, err := ask(ctx, r, job, timeouts{hedge: wait + hedgeDelay, total: wait + totalTimeout}, intake.Unsure, func(ctx context.Context, to ident.Address) (*pageWire, error) {
 		left := max(until-r.Clock.Mono(), 0)
 		return rpcs.Call[readWire, pageWire](ctx, r.client, to, readPath, &readWire{Organisation: string(by), Job: string(job), From: from, WaitMillis: int64(left)})
 	})
@@ -101,10 +107,10 @@
 
 // Body returns the body of an item.
 func (r *Relay) Body(ctx context.Context, by ident.Organisation, job ident.Job, id ident.Item) ([]byte, error) {
-	if r.Knows() {
+	if r.LedgerCurrent() {
 		return r.Local.Body(ctx, by, job, id)
 	}
-	answer, err := ask(ctx, r, job, terms{next: nextTerm, whole: answerTerm}, intake.Unsure, func(ctx context.Context, to ident.Address) (*bodyWire, error) {
+	answer, err := ask(ctx, r, job, timeouts{hedge: hedgeDelay, total: totalTimeout}, intake.Unsure, func(ctx context.Context, to ident.Address) (*bodyWire, error) {
 		return rpcs.Call[itemWire, bodyWire](ctx, r.client, to, bodyPath, &itemWire{Organisation: string(by), Job: string(job), Item: string(id)})
 	})
 	if err != nil {
@@ -113,105 +119,106 @@
 	return answer.Body, nil
 }
 
-// End closes a job.
+// End ends a job.
 func (r *Relay) End(ctx context.Context, by ident.Organisation, job ident.Job) error {
-	if r.Knows() {
+	if r.LedgerCurrent() {
 		return r.Local.End(ctx, by, job)
 	}
-	_, err := ask(ctx, r, job, terms{next: endTerm, whole: tries * endTerm}, intake.Uncertain, func(ctx context.Context, to ident.Address) (*emptyWire, error) {
+	_, err := ask(ctx, r, job, timeouts{hedge: endTimeout, total: maxFollowers * endTimeout}, intake.Uncertain, func(ctx context.Context, to ident.Address) (*emptyWire, error) {
 		return rpcs.Call[jobWire, emptyWire](ctx, r.client, to, endPath, &jobWire{Organisation: string(by), Job: string(job)})
 	})
 	return err
 }
 
-// reply is what a follower answered, or that it gave no answer.
+// reply is a follower's response, or the error of the call.
 type reply[A any] struct {
 	from   elect.Member
 	answer *A
 	err    error
 }
 
-// ask asks followers until one gives an answer of its own. A follower that can't be
-// sure is an answer only if no other is left; unsure is the kind of an error when
-// a follower gave none, and stands whatever the others say: it may have done what it was
-// asked.
+// ask calls followers until one succeeds or returns a definitive error, which is one of a kind
+// other than Unsure and Uncertain. If none does, ask returns an Uncertain error if there was
+// one, because that follower may have carried out the call, and the last error otherwise. An
+// error without a kind counts as defaultKind.
 //
-// One that is late is waited for beside the next: it has read more of what is asked for
-// than one that begins. When it was given up, each of them began anew until the caller
-// had left.
-func ask[A any](ctx context.Context, r *Relay, job ident.Job, t terms, unsure intake.Kind, call func(context.Context, ident.Address) (*A, error)) (*A, error) {
-	left := candidates(r.Followers(string(job)))
-	if len(left) == 0 {
+// If a follower is late, ask calls the next one and waits for both. The late follower has
+// already read part of the data; if it were cancelled, each follower would start over until
+// the caller's time is up.
+func ask[A any](ctx context.Context, r *Relay, job ident.Job, t timeouts, defaultKind intake.Kind, call func(context.Context, ident.Address) (*A, error)) (*A, error) {
+	remaining := candidates(r.Followers(string(job)))
+	if len(remaining) == 0 {
 		return nil, fault.New("relay.ask", intake.Unsure, "no instance is known that follows the ledger")
 	}
-	replies := make(chan reply[A], len(left))
-	began := r.Clock.Mono()
+	replies := make(chan reply[A], len(remaining))
+	startedAt := r.Clock.Mono()
 	var group conc.WaitGroup
 	defer group.Wait()
-	callCtx, cancel := context.WithTimeout(ctx, t.whole.Duration())
+	callCtx, cancel := context.WithTimeout(ctx, t.total.Duration())
 	defer cancel()
-	// last is what was heard last; doubt stands above it: what a follower may have done was
-	// perhaps done.
-	var last, doubt error
-	silent := func() error {
-		return fault.New("relay.ask", unsure, "an instance that follows the ledger has not answered in time")
+	// lastErr is the latest follower's error. uncertainErr takes precedence over it: that
+	// follower may have carried out the call.
+	var lastErr, uncertainErr error
+	timeoutErr := func() error {
+		return fault.New("relay.ask", defaultKind, "an instance that follows the ledger has not answered in time")
 	}
-	var late <-chan time.Time
-	for waiting := 0; ; {
-		if late == nil && len(left) > 0 && callCtx.Err() == nil {
-			follower := left[0]
-			left, late = left[1:], r.Clock.After(t.next)
-			waiting++
+	var hedgeTimer <-chan time.Time
+	for inFlight := 0; ; {
+		if hedgeTimer == nil && len(remaining) > 0 && callCtx.Err() == nil {
+			follower := remaining[0]
+			remaining, hedgeTimer = remaining[1:], r.Clock.After(t.hedge)
+			inFlight++
 			group.Go(func() {
 				answer, err := call(callCtx, follower.Address)
 				replies <- reply[A]{from: follower, answer: answer, err: err}
 			})
 		}
-		if waiting == 0 {
-			return nil, cmp.Or(doubt, last, silent())
+		if inFlight == 0 {
+			return nil, cmp.Or(uncertainErr, lastErr, timeoutErr())
 		}
 		select {
 		case <-callCtx.Done():
-			return nil, cmp.Or(doubt, silent())
-		case <-late:
-			late = nil
+			return nil, cmp.Or(uncertainErr, timeoutErr())
+		case <-hedgeTimer:
+			hedgeTimer = nil
 		case got := <-replies:
 			if got.err == nil {
 				return got.answer, nil
 			}
-			waiting, late = waiting-1, nil
-			kind := kindOf(got.err, unsure)
-			last = fault.Wrap("relay.ask", kind, got.err, "through "+string(got.from.Name))
-			r.note(job, got.from, fmt.Sprintf("no answer after %d of %d ms, caller left %t: %s", r.Clock.Mono()-began, t.whole, ctx.Err() != nil, got.err))
+			inFlight, hedgeTimer = inFlight-1, nil
+			kind := kindOf(got.err, defaultKind)
+			lastErr = fault.Wrap("relay.ask", kind, got.err, "through "+string(got.from.Name))
+			r.recordRetry(job, got.from, fmt.Sprintf("no answer after %d of %d ms, caller left %t: %s", r.Clock.Mono()-startedAt, t.total, ctx.Err() != nil, got.err))
 			switch kind {
 			case intake.Uncertain:
-				doubt = last
+				uncertainErr = lastErr
 			case intake.Unsure:
 			default:
-				return nil, last
+				return nil, lastErr
 			}
 		}
 	}
 }
 
-// candidates returns the followers to ask, first first: those of the own zone, with one of
-// another zone among them.
+// candidates returns the followers to ask, in order and maxFollowers at most. If the first
+// follower of another zone than the first one's comes after nearFollowers others, it is moved
+// forward to follow those.
 func candidates(followers []elect.Member) []elect.Member {
-	far := slices.IndexFunc(followers, func(m elect.Member) bool { return m.Zone != followers[0].Zone })
-	if far > nearTries {
-		followers = slices.Insert(slices.Delete(slices.Clone(followers), far, far+1), nearTries, followers[far])
+	otherZone := slices.IndexFunc(followers, func(m elect.Member) bool { return m.Zone != followers[0].Zone })
+	if otherZone > nearFollowers {
+		followers = slices.Insert(slices.Delete(slices.Clone(followers), otherZone, otherZone+1), nearFollowers, followers[otherZone])
 	}
-	return followers[:min(len(followers), tries)]
+	return followers[:min(len(followers), maxFollowers)]
 }
 
-// kindOf returns the kind that a follower gave to an error, or unsure if it gave none.
-func kindOf(err error, unsure intake.Kind) intake.Kind {
-	if told := rpcs.KindOf(err); told != "" {
-		return intake.Kind(told)
+// kindOf returns the kind that a follower gave to an error, or defaultKind if it gave none.
+func kindOf(err error, defaultKind intake.Kind) intake.Kind {
+	if kind := rpcs.KindOf(err); kind != "" {
+		return intake.Kind(kind)
 	}
-	return unsure
+	return defaultKind
 }
 
-func (r *Relay) note(job ident.Job, follower elect.Member, reason string) {
+func (r *Relay) recordRetry(job ident.Job, follower elect.Member, reason string) {
 	r.Trail.Add(trail.Decision{ID: string(job), Action: trail.Retry, Choice: string(follower.Name), Reason: reason})
 }
