--- a/croftmoor/rooms/rooms.go
+++ b/croftmoor/rooms/rooms.go
@@ -1,6 +1,6 @@
-// Package rooms lets calls to plain services through as far as their servers have room:
-// one queue and one learnt rate for each service at this instance, and a budget for further
-// tries. The decisions are those of kernel/admit.
+// Package rooms limits the calls that this instance sends to each plain service: one queue
+// and one learned rate limit per service, and a retry budget. kernel/admit makes the
+// decisions.
 package rooms
 
 import (
@@ -19,132 +19,133 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// NoRoom means that the call was not let in.
-const NoRoom Kind = "NoRoom"
+// NoCapacity means that the call was refused and did not run, since the service has no capacity in
+// time.
+const NoCapacity Kind = "NoRoom"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// mostWaiting bounds the queue of a service: with a rate of 1,000 calls a second no more
-// can start within a second.
-const mostWaiting = 1024
+// maxWaiting bounds the queue of a service: at 1,000 calls per second, calls beyond it would
+// wait for more than a second.
+const maxWaiting = 1024
 
-// Rooms are the services' rooms. Set the exported fields before use.
-type Rooms struct {
+// Limiters holds the limiter of each service. Set the exported fields before use.
+type Limiters struct {
 	Pool  *pool.Pool
 	Clock *clock.Clock
-	// Shares tells whether a service's room is shared out.
-	Shares func(ident.Service) bool
-	// Instances returns how many instances send to services, this one among them.
+	// IsLimited reports whether calls to a service are limited.
+	IsLimited func(ident.Service) bool
+	// Instances returns how many instances send calls to services, including this one.
 	Instances func() int
-	// Counts may be nil.
-	Counts Counts
+	// Metrics may be nil.
+	Metrics Metrics
 
 	byService sync.Map
 }
 
-// Counts counts what operators watch.
-type Counts interface {
-	// Room tells a service's learnt rate in calls a second, 0 if there is none, and how
-	// many calls wait for their turn.
+// Metrics receives the values that operators monitor.
+type Metrics interface {
+	// Room sets a service's learned rate in calls per second, 0 if it is not limited,
+	// and the number of its waiting calls.
 	Room(service ident.Service, rate float64, waiting int)
-	// RoomRefused counts a call that was not let in, by the reason.
+	// RoomRefused counts a refused call by reason.
 	RoomRefused(service ident.Service, reason string)
-	// TrySaved counts a further try that the budget did not allow.
+	// TrySaved counts a retry that the budget did not allow.
 	TrySaved(service ident.Service)
 }
 
-// Shared tells whether a service's room is shared out.
-func (r *Rooms) Shared(service ident.Service) bool { return r.Shares(service) }
+// Shared reports whether calls to a service are limited.
+func (r *Limiters) Shared(service ident.Service) bool { return r.IsLimited(service) }
 
-// room is one service's.
-type room struct {
-	gate  admit.Gate
-	tries budget.Budget
+// serviceLimiter is the queue and the retry budget of one service.
+type serviceLimiter struct {
+	gate    admit.Gate
+	retries budget.Budget
 }
 
-func (r *Rooms) room(service ident.Service) *room {
+func (r *Limiters) limiterOf(service ident.Service) *serviceLimiter {
 	if known, ok := r.byService.Load(service); ok {
-		found, _ := known.(*room)
+		found, _ := known.(*serviceLimiter)
 		return found
 	}
-	made := &room{}
-	made.gate.Clock = r.Clock
-	made.gate.Adaptive = &admit.AdaptiveLimiter{
-		SlotShare: func() float64 { return r.slots(service) },
-		InUse:     func(server ident.BackendName) bool { return r.uses(service, server) },
+	created := &serviceLimiter{}
+	created.gate.Clock = r.Clock
+	created.gate.Adaptive = &admit.AdaptiveLimiter{
+		SlotShare: func() float64 { return r.slotShare(service) },
+		InUse:     func(server ident.BackendName) bool { return r.inUse(service, server) },
 	}
-	made.gate.SetLimits(0, 0, mostWaiting)
-	actual, _ := r.byService.LoadOrStore(service, made)
-	found, _ := actual.(*room)
+	created.gate.SetLimits(0, 0, maxWaiting)
+	actual, _ := r.byService.LoadOrStore(service, created)
+	found, _ := actual.(*serviceLimiter)
 	return found
 }
 
-// slots returns this instance's even share of the slots of a service's usable servers.
-func (r *Rooms) slots(service ident.Service) float64 {
-	all := 0
+// slotShare returns this instance's even share of the slots of a service's usable servers.
+func (r *Limiters) slotShare(service ident.Service) float64 {
+	total := 0
 	now := r.Clock.Mono()
 	for _, s := range r.Pool.Servers(service) {
 		if s.Usable(now) {
-			all += s.Slots()
+			total += s.Slots()
 		}
 	}
-	return float64(all) / float64(max(r.Instances(), 1))
+	return float64(total) / float64(max(r.Instances(), 1))
 }
 
-// uses tells whether calls go to a server of a service.
-func (r *Rooms) uses(service ident.Service, server ident.BackendName) bool {
+// inUse reports whether calls may go to a server of a service.
+func (r *Limiters) inUse(service ident.Service, server ident.BackendName) bool {
 	now := r.Clock.Mono()
 	return slices.ContainsFunc(r.Pool.Servers(service), func(s *pool.Server) bool { return s.Name == server && s.Usable(now) })
 }
 
-// Enter waits for a call's turn. On success the caller must call leave once. A refusal
-// tells when to come back.
-func (r *Rooms) Enter(ctx context.Context, service ident.Service, ask admit.Request) (leave func(), decision admit.Decision, err error) {
+// Enter waits until a call may start. On success the caller must call leave once. On a
+// refusal it returns an error of kind NoCapacity with its RetryAfter.
+func (r *Limiters) Enter(ctx context.Context, service ident.Service, ask admit.Request) (leave func(), decision admit.Decision, err error) {
 	if !r.Shared(service) {
 		return func() {}, admit.Decision{Verdict: admit.Start, Reason: "the room is not shared out"}, nil
 	}
-	room := r.room(service)
-	room.tries.Earn()
-	leave, decision, err = room.gate.Enter(ctx, ask)
-	if r.Counts != nil {
-		r.Counts.Room(service, decision.Rate, decision.Waiting)
+	limiter := r.limiterOf(service)
+	limiter.retries.Earn()
+	leave, decision, err = limiter.gate.Enter(ctx, ask)
+	if r.Metrics != nil {
+		r.Metrics.Room(service, decision.Rate, decision.Waiting)
 	}
 	if err == nil {
 		return leave, decision, nil
 	}
-	if r.Counts != nil {
-		r.Counts.RoomRefused(service, decision.Reason)
+	if r.Metrics != nil {
+		r.Metrics.RoomRefused(service, decision.Reason)
 	}
-	refused := fault.Wrap("rooms.Enter", NoRoom, err, "service "+string(service))
+	refused := fault.Wrap("rooms.Enter", NoCapacity, err, "service "+string(service))
 	refused.RetryAfter = decision.RetryAfter
 	return nil, decision, refused
 }
 
-// Note learns from a server's answer to a call.
-func (r *Rooms) Note(service ident.Service, s admit.Signal) {
+// Note updates the service's rate limit from a backend server's response.
+func (r *Limiters) Note(service ident.Service, s admit.Signal) {
 	if r.Shared(service) {
-		r.room(service).gate.Observe(s)
+		r.limiterOf(service).gate.Observe(s)
 	}
 }
 
-// TryAgain takes a further try of a call out of the budget; it reports false if that is
-// used up.
-func (r *Rooms) TryAgain(service ident.Service) bool {
-	if !r.Shared(service) || r.room(service).tries.Spend() {
+// TryAgain takes one retry from the service's budget; it returns false if none is left.
+// It always returns true if the service is not limited.
+func (r *Limiters) TryAgain(service ident.Service) bool {
+	if !r.Shared(service) || r.limiterOf(service).retries.Spend() {
 		return true
 	}
-	if r.Counts != nil {
-		r.Counts.TrySaved(service)
+	if r.Metrics != nil {
+		r.Metrics.TrySaved(service)
 	}
 	return false
 }
 
-// ComeBack returns when a caller of an organisation should come back who was let in but found the servers
-// full; 0 if the service's room is not shared out.
-func (r *Rooms) ComeBack(service ident.Service, by ident.Organisation) clock.Millis {
+// ComeBack returns the retry delay for an organisation's caller that was admitted but
+// found the backend servers full; 0 if the service is not limited.
+func (r *Limiters) ComeBack(service ident.Service, by ident.Organisation) clock.Millis {
 	if !r.Shared(service) {
 		return 0
 	}
-	return r.room(service).gate.RetryAfter(by)
+	return r.limiterOf(service).gate.RetryAfter(by)
 }
