--- a/croftmoor/refuse/refuse.go
+++ b/croftmoor/refuse/refuse.go
@@ -1,4 +1,4 @@
-// Package refuse is the answers other than success that a caller can get.
+// Package refuse defines the errors that callers of the platform receive.
 package refuse
 
 import (
@@ -7,37 +7,37 @@
 	"croftmoor.dev/kernel/clock"
 )
 
-// Kind classifies a refusal towards a caller.
+// Kind classifies a refusal.
 type Kind string
 
 // Kinds of refusals.
 const (
-	// NotRun means that the work certainly did not run.
+	// NotRun means that the work did not run, so a retry is safe.
 	NotRun Kind = "NotRun"
 	// OutcomeUnknown means that the work may have run.
 	OutcomeUnknown Kind = "OutcomeUnknown"
-	// Late means that repeatable work was given up at its deadline.
+	// Late means that repeatable work was aborted at its deadline.
 	Late Kind = "Late"
-	// Invalid means that the request itself is at fault.
+	// Invalid means that the request is invalid.
 	Invalid Kind = "Invalid"
-	// StepUnknown tells a trainer to open its step again.
+	// StepUnknown means that this instance does not know the step; the trainer opens it again.
 	StepUnknown Kind = "StepUnknown"
-	// Denied means that the credentials don't allow the request.
+	// Denied means that the credentials do not allow the request.
 	Denied Kind = "Denied"
 )
 
-// Error is a refusal with its reason and remedy.
+// Error is a refusal: Op is the operation, What the reason and Do the remedy.
 type Error struct {
 	Op   string
 	Kind Kind
 	What string
 	Do   string
-	// RetryAfter is when to come back; 0 says nothing.
+	// RetryAfter is the retry delay; 0 is not known.
 	RetryAfter clock.Millis
 	Err        error
 }
 
-// Error joins the parts.
+// Error returns operation, kind, reason and cause, separated by colons.
 func (e *Error) Error() string {
 	text := e.Op + ": " + string(e.Kind) + ": " + e.What
 	if e.Err != nil {
@@ -56,12 +56,12 @@
 	return &Error{Op: op, Kind: kind, What: what, Do: do}
 }
 
-// After returns a refusal that tells when to come back.
+// After returns a refusal that asks the caller to retry after a delay.
 func After(op string, kind Kind, what string, retry clock.Millis) *Error {
 	return &Error{Op: op, Kind: kind, What: what, Do: "ask again after RetryAfterMillis", RetryAfter: retry}
 }
 
-// Of returns err as a refusal; an error of another type counts as OutcomeUnknown.
+// Of returns err as a refusal; an error of another type becomes an OutcomeUnknown.
 func Of(err error) *Error {
 	var refusal *Error
 	if eris.As(err, &refusal) {
