--- a/croftmoor/guard/guard_test.go
+++ b/croftmoor/guard/guard_test.go
@@ -21,29 +21,29 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// memory stands in for the platform's log.
-type memory struct {
-	mu      sync.Mutex
-	away    bool
-	records [][]byte
+// memoryLog is an in-memory platform log.
+type memoryLog struct {
+	mu          sync.Mutex
+	unavailable bool
+	records     [][]byte
 }
 
-func (m *memory) has(from ident.Offset) bool {
+func (m *memoryLog) hasNext(from ident.Offset) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away || int(from) <= len(m.records)
+	return m.unavailable || int(from) <= len(m.records)
 }
 
-func (m *memory) set(away bool) {
+func (m *memoryLog) setUnavailable(unavailable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away = away
+	m.unavailable = unavailable
 }
 
-func (m *memory) Write(ctx context.Context, _ ident.Stream, records ...[]byte) (ident.Offset, error) {
+func (m *memoryLog) Write(ctx context.Context, _ ident.Stream, records ...[]byte) (ident.Offset, error) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		if !m.away {
+		if !m.unavailable {
 			defer m.mu.Unlock()
 			m.records = append(m.records, records...)
 			return ident.Offset(len(m.records)), nil
@@ -54,15 +54,15 @@
 	return 0, fault.Wrap("guard.Write", tail.Refused, ctx.Err(), "")
 }
 
-// Read waits, as the platform's log does, if there is nothing to read.
-func (m *memory) Read(_ context.Context, _ ident.Stream, from ident.Offset, wait clock.Millis) (tail.Batch, error) {
+// Read waits for a record if there is none, as the platform's log does.
+func (m *memoryLog) Read(_ context.Context, _ ident.Stream, from ident.Offset, wait clock.Millis) (tail.Batch, error) {
 	time.Sleep(5 * time.Millisecond)
-	for began := time.Now(); time.Since(began) < wait.Duration() && !m.has(from); {
+	for began := time.Now(); time.Since(began) < wait.Duration() && !m.hasNext(from); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
+	if m.unavailable {
 		return tail.Batch{}, fault.New("guard.Read", tail.Unavailable, "away")
 	}
 	batch := tail.Batch{First: 1, Next: ident.Offset(len(m.records)) + 1}
@@ -80,11 +80,11 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("not in time: %s", what)
+	t.Fatalf("timed out: %s", what)
 }
 
-// started returns guards of instances that share a log and know each other.
-func started(t *testing.T, log *memory, count int) []*Guard {
+// startGuards starts guards of instances that share a log and are each other's peers.
+func startGuards(t *testing.T, log *memoryLog, count int) []*Guard {
 	t.Helper()
 	var guards []*Guard
 	var addresses []ident.Address
@@ -125,14 +125,14 @@
 // request returns the fingerprint of a request for a target.
 func request(target string) poison.Fingerprint { return poison.Subject{Target: target}.Fingerprint() }
 
-// end has each guard see one server end under a request.
-func end(guards []*Guard, r poison.Fingerprint, count int) {
+// reportEnds reports count ends under a request, by the guards in turn.
+func reportEnds(guards []*Guard, r poison.Fingerprint, count int) {
 	for n := range count {
 		guards[n%len(guards)].Ended(r, ident.NewBackend(fmt.Sprint("s", n), 1))
 	}
 }
 
-func wantHeld(t *testing.T, guards []*Guard, r poison.Fingerprint, held bool) {
+func assertHeld(t *testing.T, guards []*Guard, r poison.Fingerprint, held bool) {
 	t.Helper()
 	for n, g := range guards {
 		eventually(t, fmt.Sprintf("instance %d: held is %v", n, held), func() bool {
@@ -144,19 +144,19 @@
 
 func TestGuards(t *testing.T) {
 	t.Run("what each saw alone all know together, and who starts later", func(t *testing.T) {
-		log := &memory{}
-		guards := started(t, log, 3)
-		end(guards, request("/a"), poison.Threshold)
-		wantHeld(t, guards, request("/a"), true)
-		wantHeld(t, started(t, log, 1), request("/a"), true)
-		wantHeld(t, guards, request("/b"), false)
+		log := &memoryLog{}
+		guards := startGuards(t, log, 3)
+		reportEnds(guards, request("/a"), poison.Threshold)
+		assertHeld(t, guards, request("/a"), true)
+		assertHeld(t, startGuards(t, log, 1), request("/a"), true)
+		assertHeld(t, guards, request("/b"), false)
 	})
 	t.Run("an answer that one saw clears the request on all", func(t *testing.T) {
-		log := &memory{}
-		guards := started(t, log, 3)
-		end(guards, request("/a"), poison.Threshold-1)
+		log := &memoryLog{}
+		guards := startGuards(t, log, 3)
+		reportEnds(guards, request("/a"), poison.Threshold-1)
 		eventually(t, "all suspect it", func() bool { return !guards[0].Quiet() && !guards[1].Quiet() && !guards[2].Quiet() })
-		eventually(t, "the last one knows of both ends", func() bool {
+		eventually(t, "the last one has both ends", func() bool {
 			guards[2].mu.Lock()
 			defer guards[2].mu.Unlock()
 			return guards[2].table.Verdict(request("/a"), 0).Ends == poison.Threshold-1
@@ -175,59 +175,59 @@
 		})
 	})
 	t.Run("they tell each other while the log is away, and the log when it is back", func(t *testing.T) {
-		log := &memory{}
-		guards := started(t, log, 3)
-		log.set(true)
-		end(guards, request("/a"), poison.Threshold)
-		wantHeld(t, guards, request("/a"), true)
-		log.set(false)
-		wantHeld(t, started(t, log, 1), request("/a"), true)
+		log := &memoryLog{}
+		guards := startGuards(t, log, 3)
+		log.setUnavailable(true)
+		reportEnds(guards, request("/a"), poison.Threshold)
+		assertHeld(t, guards, request("/a"), true)
+		log.setUnavailable(false)
+		assertHeld(t, startGuards(t, log, 1), request("/a"), true)
 	})
 }
 
 func TestGuardsWithoutTheLog(t *testing.T) {
 	t.Run("who has not read yet keeps requests back, but not for long", func(t *testing.T) {
-		log := &memory{}
-		end(started(t, log, 3), request("/a"), poison.Threshold)
+		log := &memoryLog{}
+		reportEnds(startGuards(t, log, 3), request("/a"), poison.Threshold)
 		eventually(t, "the log has it", func() bool {
 			log.mu.Lock()
 			defer log.mu.Unlock()
 			return len(log.records) == poison.Threshold
 		})
-		log.set(true)
-		late := started(t, log, 1)[0]
+		log.setUnavailable(true)
+		late := startGuards(t, log, 1)[0]
 		left, _ := late.Held(request("/b"))
-		if late.Quiet() || late.Ready() || left != unreadPause {
-			t.Errorf("a request is held for %d ms by who knows nothing, want %d", left, unreadPause)
+		if late.Quiet() || late.Ready() || left != unreadRetryAfter {
+			t.Errorf("a request is held for %d ms before the log is read, want %d", left, unreadRetryAfter)
 		}
-		log.set(false)
-		wantHeld(t, []*Guard{late}, request("/a"), true)
-		wantHeld(t, []*Guard{late}, request("/b"), false)
-		log.set(true)
-		blind := started(t, log, 1)[0]
+		log.setUnavailable(false)
+		assertHeld(t, []*Guard{late}, request("/a"), true)
+		assertHeld(t, []*Guard{late}, request("/b"), false)
+		log.setUnavailable(true)
+		blind := startGuards(t, log, 1)[0]
 		_, _ = blind.Held(request("/b"))
-		time.Sleep((blindTerm + unreadPause).Duration())
-		wantHeld(t, []*Guard{blind}, request("/b"), false)
+		time.Sleep((maxUnreadWait + unreadRetryAfter).Duration())
+		assertHeld(t, []*Guard{blind}, request("/b"), false)
 	})
 	t.Run("who starts where nothing is held serves at once", func(t *testing.T) {
-		g := started(t, &memory{}, 1)[0]
+		g := startGuards(t, &memoryLog{}, 1)[0]
 		began := time.Now()
 		eventually(t, "it is ready", g.Ready)
-		if took := time.Since(began); took > readWait.Duration()/2 {
+		if took := time.Since(began); took > pollWait.Duration()/2 {
 			t.Errorf("ready after %v", took)
 		}
 	})
 	t.Run("many ends at once while the log is away are bounded", func(t *testing.T) {
-		log := &memory{away: true}
-		guards := started(t, log, 1)
-		for n := range 4 * mostPending {
+		log := &memoryLog{unavailable: true}
+		guards := startGuards(t, log, 1)
+		for n := range 4 * maxPending {
 			guards[0].Ended(request(fmt.Sprint(n)), ident.NewBackend("s", 1))
 		}
 		guards[0].mu.Lock()
 		pending, dropped := guards[0].pending, guards[0].dropped
 		guards[0].mu.Unlock()
-		if pending > mostPending || dropped != 3*mostPending {
-			t.Errorf("%d records wait, %d were dropped", pending, dropped)
+		if pending > maxPending || dropped != 3*maxPending {
+			t.Errorf("%d records pending, %d dropped", pending, dropped)
 		}
 	})
 }
--- a/croftmoor/guard/peer.go
+++ b/croftmoor/guard/peer.go
@@ -12,41 +12,41 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-const tellPath = "/croftmoor.Guard/Tell"
+const notifyPath = "/croftmoor.Guard/Tell"
 
-// callsAtOnce bounds the calls to other instances that are under way.
-const callsAtOnce = 8
+// maxConcurrentCalls bounds the concurrent calls to other instances.
+const maxConcurrentCalls = 8
 
-// tellWire is a record for another instance.
-type tellWire struct {
+// notifyWire carries a record to another instance.
+type notifyWire struct {
 	Record []byte
 }
 
-type toldWire struct{}
+type notifyReplyWire struct{}
 
-// tellPeers tells other instances of a record directly.
-func (g *Guard) tellPeers(ctx context.Context, data []byte) {
+// notifyPeers sends a record to up to maxDirectPeers random instances.
+func (g *Guard) notifyPeers(ctx context.Context, data []byte) {
 	peers := slices.Clone(g.Peers())
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	calls := pool.New().WithMaxGoroutines(callsAtOnce)
-	for _, at := range peers[:min(len(peers), mostDirect)] {
-		calls.Go(func() { g.tellPeer(ctx, at, data) })
+	calls := pool.New().WithMaxGoroutines(maxConcurrentCalls)
+	for _, peer := range peers[:min(len(peers), maxDirectPeers)] {
+		calls.Go(func() { g.notifyPeer(ctx, peer, data) })
 	}
 	calls.Wait()
 }
 
-func (g *Guard) tellPeer(ctx context.Context, at ident.Address, data []byte) {
-	ctx, cancel := context.WithTimeout(ctx, directTerm.Duration())
+func (g *Guard) notifyPeer(ctx context.Context, peer ident.Address, data []byte) {
+	ctx, cancel := context.WithTimeout(ctx, directTimeout.Duration())
 	defer cancel()
-	if _, err := rpcs.Call[tellWire, toldWire](ctx, g.client, at, tellPath, &tellWire{Record: data}); err != nil {
-		g.Log.Info().Err(err).Str("Peer", string(at)).Msg("an instance was not told directly")
+	if _, err := rpcs.Call[notifyWire, notifyReplyWire](ctx, g.client, peer, notifyPath, &notifyWire{Record: data}); err != nil {
+		g.Log.Info().Err(err).Str("Peer", string(peer)).Msg("instance not notified directly")
 	}
 }
 
-// Handle takes what other instances tell directly.
+// Handle registers the handler for records that other instances send directly.
 func Handle(mux *http.ServeMux, g *Guard) {
-	rpcs.Handle(mux, tellPath, func(err error) error { return err }, func(_ context.Context, w *tellWire) (*toldWire, error) {
-		g.fold(w.Record, false, 0)
-		return &toldWire{}, nil
+	rpcs.Handle(mux, notifyPath, func(err error) error { return err }, func(_ context.Context, w *notifyWire) (*notifyReplyWire, error) {
+		g.applyEncoded(w.Record, false, 0)
+		return &notifyReplyWire{}, nil
 	})
 }
