--- a/kernel/access/access_test.go
+++ b/kernel/access/access_test.go
@@ -10,7 +10,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-func directory(t testing.TB, list ...Organisation) *Directory {
+func newDirectory(t testing.TB, list ...Organisation) *Directory {
 	t.Helper()
 	d, err := NewDirectory(list)
 	if err != nil {
@@ -20,7 +20,7 @@
 }
 
 func TestDecide(t *testing.T) {
-	d := directory(t,
+	d := newDirectory(t,
 		Organisation{Name: "shops", Keys: []ident.Key{"k1", "k2"}, Priority: 1, HasPriority: true},
 		Organisation{Name: "tables", Keys: []ident.Key{"k3"}},
 		Organisation{Name: "keyless"})
@@ -43,7 +43,7 @@
 		{"an unknown key on a public route", d, Query{Key: "k4", Public: true}, "", ""},
 		{"a key in force on a public route", d, Query{Key: "k3", Public: true}, "tables", ""},
 		{"no organisations", nil, Query{Key: "k1", ConfigAge: stale}, "", ""},
-		{"a list without entries", directory(t), Query{Key: "k1"}, "", Denied},
+		{"a list without entries", newDirectory(t), Query{Key: "k1"}, "", Denied},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 }
 
 func TestUrgent(t *testing.T) {
-	d := directory(t, Organisation{Name: "a", Priority: 1, HasPriority: true}, Organisation{Name: "b"})
+	d := newDirectory(t, Organisation{Name: "a", Priority: 1, HasPriority: true}, Organisation{Name: "b"})
 	cases := []struct {
 		directory *Directory
 		name      ident.Organisation
@@ -87,7 +87,7 @@
 		})
 	}
 	t.Run("a key twice in one organisation is harmless", func(t *testing.T) {
-		directory(t, Organisation{Name: "a", Keys: []ident.Key{"k", "k"}})
+		newDirectory(t, Organisation{Name: "a", Keys: []ident.Key{"k", "k"}})
 	})
 }
 
@@ -140,10 +140,10 @@
 	b.Run("build", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			directory(b, list...)
+			newDirectory(b, list...)
 		}
 	})
-	d := directory(b, list...)
+	d := newDirectory(b, list...)
 	b.Run("known", func(b *testing.B) {
 		for b.Loop() {
 			_, _ = d.Authenticate(Query{Key: "key-999-99"})
