--- a/croftmoor/rooms/rooms.go
+++ b/croftmoor/limits/limits.go
@@ -1,7 +1,7 @@
-// Package rooms limits the calls that this instance sends to each plain service: one queue
+// Package limits bounds the calls that this instance sends to each plain service: one queue
 // and one learned rate limit per service, and a retry budget. kernel/admit makes the
 // decisions.
-package rooms
+package limits
 
 import (
 	"context"
@@ -117,7 +117,7 @@
 	if r.Metrics != nil {
 		r.Metrics.RoomRefused(service, decision.Reason)
 	}
-	refused := fault.Wrap("rooms.Enter", NoCapacity, err, "service "+string(service))
+	refused := fault.Wrap("limits.Enter", NoCapacity, err, "service "+string(service))
 	refused.RetryAfter = decision.RetryAfter
 	return nil, decision, refused
 }
