--- a/croftmoor/roster/roster_test.go
+++ b/croftmoor/roster/roster_test.go
@@ -34,7 +34,7 @@
 	posted := make([]Posted, 0, n)
 	for i := range n {
 		posted = append(posted, Posted{Offset: ident.Offset(i + 1), Member: elect.Member{
-			Name: ident.InstanceName(fmt.Sprintf("front-%d~1", i)), Zone: "z", Follows: true, Power: 800,
+			Name: ident.InstanceName(fmt.Sprintf("front-%d~1", i)), Zone: "z", Follows: true, CPU: 800,
 			Address: ident.Address(fmt.Sprintf("10.0.0.%d:1", i)),
 		}})
 	}
--- a/kernel/elect/elect.go
+++ b/kernel/elect/elect.go
@@ -38,7 +38,7 @@
 	Name    ident.InstanceName
 	Zone    ident.Zone
 	Address ident.Address
-	Power   Millicores
+	CPU     Millicores
 	// Follows means that the member follows the ledger.
 	Follows bool
 	Leaving bool
@@ -54,28 +54,30 @@
 	return NonFollowerHeartbeatPeriod
 }
 
-// Alive reports whether the member is running and not leaving. now is the last time at
-// which the roster was current, so that members do not expire during an outage of the log.
-func (m Member) Alive(now clock.Millis) bool {
-	return !m.Leaving && now-m.LastHeartbeat <= missedHeartbeats*m.HeartbeatPeriod()
+// Alive reports whether the member is running and not leaving. rosterTime is the last time
+// at which the roster was current, so that members do not expire during an outage of the
+// log.
+func (m Member) Alive(rosterTime clock.Millis) bool {
+	return !m.Leaving && rosterTime-m.LastHeartbeat <= missedHeartbeats*m.HeartbeatPeriod()
 }
 
 // precedes reports whether m is chosen before other: more processor time first, because
 // followers run the work, then by hash, so that similar names are spread.
 func (m Member) precedes(other Member) bool {
-	if m.Power != other.Power {
-		return m.Power > other.Power
+	if m.CPU != other.CPU {
+		return m.CPU > other.CPU
 	}
 	mine, others := ident.Hash("follow", m.Name.ListName()), ident.Hash("follow", other.Name.ListName())
 	return mine > others
 }
 
 // ShouldFollow reports whether an instance should follow the ledger: fewer than
-// FollowersPerZone living members of its availability zone precede it.
-func ShouldFollow(self Member, all []Member, now clock.Millis) bool {
+// FollowersPerZone living members of its availability zone precede it. rosterTime is as in
+// Alive.
+func ShouldFollow(self Member, all []Member, rosterTime clock.Millis) bool {
 	preceding := 0
 	for _, m := range all {
-		if m.Zone == self.Zone && m.Name.ListName() != self.Name.ListName() && m.Alive(now) && m.precedes(self) {
+		if m.Zone == self.Zone && m.Name.ListName() != self.Name.ListName() && m.Alive(rosterTime) && m.precedes(self) {
 			preceding++
 		}
 	}
--- a/kernel/elect/elect_test.go
+++ b/kernel/elect/elect_test.go
@@ -21,7 +21,7 @@
 		if i%5 == 0 {
 			power = 800
 		}
-		members = append(members, Member{Name: ident.InstanceName(fmt.Sprintf("front-%d~1", i)), Zone: "z", Power: power, LastHeartbeat: now})
+		members = append(members, Member{Name: ident.InstanceName(fmt.Sprintf("front-%d~1", i)), Zone: "z", CPU: power, LastHeartbeat: now})
 	}
 	return members
 }
