--- a/croftmoor/home/home.go
+++ b/croftmoor/home/home.go
@@ -64,9 +64,10 @@
 	// leaseConfirmed is when this primary sent the last confirmation request that its
 	// backup acknowledged; 0 means never.
 	leaseConfirmed clock.Millis
-	// ackedPrimary is when this instance, as a backup, last handled a record or a
-	// snapshot.
-	ackedPrimary clock.Millis
+	// lastFromPrimary is when this instance, as a backup, last received a record or a
+	// snapshot, also one that it refused. A later time is safe: it only makes a new
+	// primary wait longer.
+	lastFromPrimary clock.Millis
 }
 
 const (
@@ -90,28 +91,30 @@
 	}
 }
 
-// OnState applies the views of a newer state to the shards.
+// OnState applies the views of a newer state to the shards. For a shard of which this
+// instance becomes the primary, it notes when the previous primary's lease may last have
+// been confirmed.
 func (h *Home) OnState(state *fold.State) {
 	now := h.Clock.Now()
 	for i := range h.shards {
-		c := &h.shards[i]
-		c.mu.Lock()
-		before := c.shard.View()
-		hadState := c.shard.HasState()
-		c.shard.ApplyView(state.Views.Views[i], now)
-		if before.Primary != h.Self && c.shard.View().Primary == h.Self {
-			c.previousConfirmed = h.lastConfirmation(c, before, hadState)
+		locked := &h.shards[i]
+		locked.mu.Lock()
+		before := locked.shard.View()
+		hadState := locked.shard.HasState()
+		locked.shard.ApplyView(state.Views.Views[i], now)
+		if before.Primary != h.Self && locked.shard.View().Primary == h.Self {
+			locked.previousConfirmed = h.lastConfirmation(locked, before, hadState)
 		}
-		c.mu.Unlock()
+		locked.mu.Unlock()
 	}
 }
 
 // lastConfirmation returns the latest time at which the previous primary may have had its
 // lease confirmed. A backup with the state knows it, because only the backup confirms; any
 // other new primary must assume now.
-func (h *Home) lastConfirmation(c *lockedShard, before views.View, hadState bool) clock.Millis {
+func (h *Home) lastConfirmation(locked *lockedShard, before views.View, hadState bool) clock.Millis {
 	if before.Backup == h.Self && hadState {
-		return c.ackedPrimary
+		return locked.lastFromPrimary
 	}
 	return h.Clock.Mono()
 }
@@ -157,34 +160,34 @@
 }
 
 func (h *Home) view(shard views.Shard) views.View {
-	c := &h.shards[shard]
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.shard.View()
+	locked := &h.shards[shard]
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	return locked.shard.View()
 }
 
 // ClaimHere answers a claim as the shard's primary.
 func (h *Home) ClaimHere(ctx context.Context, request once.Request) (once.Entry, error) {
 	number := views.ShardOf(string(request.ID))
-	c := &h.shards[number]
+	locked := &h.shards[number]
 	guard := h.guard()
-	c.mu.Lock()
-	entry, op, err := c.shard.Claim(request, h.Clock.Now(), guard)
-	backup := c.shard.View().Backup
-	c.mu.Unlock()
+	locked.mu.Lock()
+	entry, op, err := locked.shard.Claim(request, h.Clock.Now(), guard)
+	backup := locked.shard.View().Backup
+	locked.mu.Unlock()
 	if err != nil || entry.Status != once.Pending {
 		return entry, err
 	}
 	if backup != "" {
 		err = h.record(ctx, backup, peers.Record{Shard: number, From: h.Self, Op: op})
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
 	if err == nil {
-		err = c.shard.Confirm(op)
+		err = locked.shard.Confirm(op)
 	}
 	if err != nil {
-		c.shard.Abort(op)
+		locked.shard.Abort(op)
 		return once.Entry{}, fault.Wrap("home.ClaimHere", once.NotReady, err, "the shard's backup did not record the claim")
 	}
 	return op.Entry, nil
@@ -219,11 +222,11 @@
 	if record.Shard < 0 || record.Shard >= views.Shards {
 		return fault.New("home.RecordHere", once.OldEpoch, "no such shard")
 	}
-	c := &h.shards[record.Shard]
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.ackedPrimary = h.Clock.Mono()
-	return c.shard.Record(record.Op, record.From)
+	locked := &h.shards[record.Shard]
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	locked.lastFromPrimary = h.Clock.Mono()
+	return locked.shard.Record(record.Op, record.From)
 }
 
 // InstallHere installs a shard's state as its backup.
@@ -231,11 +234,11 @@
 	if install.Snapshot.Shard < 0 || install.Snapshot.Shard >= views.Shards {
 		return fault.New("home.InstallHere", once.OldEpoch, "no such shard")
 	}
-	c := &h.shards[install.Snapshot.Shard]
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.ackedPrimary = h.Clock.Mono()
-	return c.shard.Install(install.Snapshot, install.From)
+	locked := &h.shards[install.Snapshot.Shard]
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	locked.lastFromPrimary = h.Clock.Mono()
+	return locked.shard.Install(install.Snapshot, install.From)
 }
 
 // Settle reports the end of a grant to the shard's primary, with retries. If all fail, the
@@ -263,11 +266,11 @@
 // SettleHere ends a grant as the shard's primary.
 func (h *Home) SettleHere(ctx context.Context, settlement once.Settlement) error {
 	number := views.ShardOf(string(settlement.ID))
-	c := &h.shards[number]
-	c.mu.Lock()
-	view := c.shard.View()
-	op, changed := c.shard.Settle(settlement)
-	c.mu.Unlock()
+	locked := &h.shards[number]
+	locked.mu.Lock()
+	view := locked.shard.View()
+	op, changed := locked.shard.Settle(settlement)
+	locked.mu.Unlock()
 	if view.Primary != h.Self {
 		return fault.New("home.SettleHere", once.NotPrimary, "the shard's primary is "+string(view.Primary))
 	}
@@ -302,17 +305,17 @@
 // of which it is the backup, and the number of ids in all its shards.
 func (h *Home) Counts() (primaries, backups, ids int) {
 	for i := range h.shards {
-		c := &h.shards[i]
-		c.mu.Lock()
-		view := c.shard.View()
+		locked := &h.shards[i]
+		locked.mu.Lock()
+		view := locked.shard.View()
 		if view.Primary == h.Self {
 			primaries++
 		}
 		if view.Backup == h.Self {
 			backups++
 		}
-		ids += c.shard.Len()
-		c.mu.Unlock()
+		ids += locked.shard.Len()
+		locked.mu.Unlock()
 	}
 	return primaries, backups, ids
 }
--- a/croftmoor/home/lease.go
+++ b/croftmoor/home/lease.go
@@ -39,17 +39,17 @@
 // previous primary's last confirmation.
 func (h *Home) Lease(ctx context.Context, role string) (fence ident.Fence, held bool) {
 	number := views.ShardOf(role)
-	c := &h.shards[number]
-	c.mu.Lock()
-	view := c.shard.View()
-	canAct := view.Primary == h.Self && c.shard.HasState() && !c.shard.NeedsInstall()
-	yields, leased := c.previousConfirmed, c.leaseConfirmed
-	c.mu.Unlock()
+	locked := &h.shards[number]
+	locked.mu.Lock()
+	view := locked.shard.View()
+	canAct := view.Primary == h.Self && locked.shard.HasState() && !locked.shard.NeedsInstall()
+	previousConfirmed, leaseConfirmed := locked.previousConfirmed, locked.leaseConfirmed
+	locked.mu.Unlock()
 	now := h.Clock.Mono()
-	if !canAct || now < yields+LeaseTerm {
+	if !canAct || now < previousConfirmed+LeaseTerm {
 		return 0, false
 	}
-	if now-leased >= renewAfter {
+	if now-leaseConfirmed >= renewAfter {
 		h.renew(ctx, number, view)
 	}
 	return h.Holds(role)
@@ -57,12 +57,12 @@
 
 // Holds is Lease without a request to the backup. Call it immediately before an action.
 func (h *Home) Holds(role string) (fence ident.Fence, held bool) {
-	c := &h.shards[views.ShardOf(role)]
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	view := c.shard.View()
-	fresh := h.Clock.Mono()+MaxActionTime < c.leaseConfirmed+LeaseTerm
-	return ident.Fence(view.Epoch), view.Primary == h.Self && c.leaseConfirmed > 0 && fresh
+	locked := &h.shards[views.ShardOf(role)]
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	view := locked.shard.View()
+	unexpired := h.Clock.Mono()+MaxActionTime < locked.leaseConfirmed+LeaseTerm
+	return ident.Fence(view.Epoch), view.Primary == h.Self && locked.leaseConfirmed > 0 && unexpired
 }
 
 // PrimaryOf returns the primary of the role's shard, or "" if there is none.
@@ -85,10 +85,10 @@
 			return
 		}
 	}
-	c := &h.shards[number]
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.shard.View().Epoch == view.Epoch {
-		c.leaseConfirmed = max(c.leaseConfirmed, sentAt)
+	locked := &h.shards[number]
+	locked.mu.Lock()
+	defer locked.mu.Unlock()
+	if locked.shard.View().Epoch == view.Epoch {
+		locked.leaseConfirmed = max(locked.leaseConfirmed, sentAt)
 	}
 }
--- a/croftmoor/home/mover.go
+++ b/croftmoor/home/run.go
@@ -47,7 +47,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout.Duration())
 	defer cancel()
-	// Proposing twice is harmless: after the first, the base epoch has changed.
+	// A repeated proposal is harmless: it names an old base and is ignored.
 	offset, err := h.Log.Append(ctx, fold.Stream, record)
 	for err == nil && h.Reader.Current().UpTo < offset {
 		if !h.Clock.Sleep(ctx, retryPause) {
@@ -63,11 +63,11 @@
 	}
 	var proposals []views.Proposal
 	for i := range h.shards {
-		c := &h.shards[i]
-		c.mu.Lock()
-		view := c.shard.View()
-		situation.Synced = c.shard.Synced()
-		c.mu.Unlock()
+		locked := &h.shards[i]
+		locked.mu.Lock()
+		view := locked.shard.View()
+		situation.Synced = locked.shard.Synced()
+		locked.mu.Unlock()
 		if p, ok := views.Next(views.Shard(i), view, situation); ok {
 			proposals = append(proposals, p)
 		}
@@ -79,10 +79,10 @@
 func (h *Home) installAll(ctx context.Context) {
 	var group conc.WaitGroup
 	for i := range h.shards {
-		c := &h.shards[i]
-		c.mu.Lock()
-		needed := c.shard.NeedsInstall() && h.Health.Alive(c.shard.View().Backup)
-		c.mu.Unlock()
+		locked := &h.shards[i]
+		locked.mu.Lock()
+		needed := locked.shard.NeedsInstall() && h.Health.Alive(locked.shard.View().Backup)
+		locked.mu.Unlock()
 		if needed {
 			group.Go(func() { h.install(ctx, views.Shard(i)) })
 		}
@@ -91,51 +91,51 @@
 }
 
 func (h *Home) install(ctx context.Context, number views.Shard) {
-	c := &h.shards[number]
-	c.mu.Lock()
-	view := c.shard.View()
-	snapshot := c.shard.Snapshot(number)
-	c.mu.Unlock()
+	locked := &h.shards[number]
+	locked.mu.Lock()
+	view := locked.shard.View()
+	snapshot := locked.shard.Snapshot(number)
+	locked.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, installTimeout.Duration())
 	defer cancel()
 	if h.Caller.Install(ctx, view.Backup, peers.Install{From: h.Self, Snapshot: snapshot}) != nil {
 		return
 	}
-	c.mu.Lock()
-	c.shard.ConfirmInstall(snapshot.Epoch)
-	c.mu.Unlock()
+	locked.mu.Lock()
+	locked.shard.ConfirmInstall(snapshot.Epoch)
+	locked.mu.Unlock()
 }
 
 func (h *Home) expire() {
 	now := h.Clock.Now()
 	for i := range h.shards {
-		c := &h.shards[i]
-		c.mu.Lock()
-		c.shard.Expire(now)
-		c.mu.Unlock()
+		locked := &h.shards[i]
+		locked.mu.Lock()
+		locked.shard.Expire(now)
+		locked.mu.Unlock()
 	}
 }
 
-// Status describes one shard for operators. Ready is once.Shard.Synced; IDs is the number
+// Status describes one shard for operators. Synced is once.Shard.Synced; IDs is the number
 // of entries.
 type Status struct {
-	Shard views.Shard
-	View  views.View
-	Ready bool
-	IDs   int
+	Shard  views.Shard
+	View   views.View
+	Synced bool
+	IDs    int
 }
 
 // Statuses returns the shards of which this instance is the primary or the backup.
 func (h *Home) Statuses() []Status {
 	var list []Status
 	for i := range h.shards {
-		c := &h.shards[i]
-		c.mu.Lock()
-		shard := &c.shard
+		locked := &h.shards[i]
+		locked.mu.Lock()
+		shard := &locked.shard
 		if shard.View().Has(h.Self) {
-			list = append(list, Status{Shard: views.Shard(i), View: shard.View(), Ready: shard.Synced(), IDs: shard.Len()})
+			list = append(list, Status{Shard: views.Shard(i), View: shard.View(), Synced: shard.Synced(), IDs: shard.Len()})
 		}
-		c.mu.Unlock()
+		locked.mu.Unlock()
 	}
 	return list
 }
