--- a/croftmoor/home/lease.go
+++ b/croftmoor/home/lease.go
@@ -55,7 +55,9 @@
 	return h.Holds(role)
 }
 
-// Holds is Lease without a request to the backup. Call it immediately before an action.
+// Holds reports whether the role's last confirmation is still valid for at least
+// MaxActionTime, without a request to the backup. Call it after Lease and immediately
+// before an action.
 func (h *Home) Holds(role string) (fence ident.Fence, held bool) {
 	locked := &h.shards[views.ShardOf(role)]
 	locked.mu.Lock()
--- a/croftmoor/home/run.go
+++ b/croftmoor/home/run.go
@@ -116,13 +116,13 @@
 	}
 }
 
-// Status describes one shard for operators. Synced is once.Shard.Synced; IDs is the number
-// of entries.
+// Status describes one shard for operators. StateSynced is once.Shard.Synced; IDs is the
+// number of entries.
 type Status struct {
-	Shard  views.Shard
-	View   views.View
-	Synced bool
-	IDs    int
+	Shard       views.Shard
+	View        views.View
+	StateSynced bool
+	IDs         int
 }
 
 // Statuses returns the shards of which this instance is the primary or the backup.
@@ -133,7 +133,7 @@
 		locked.mu.Lock()
 		shard := &locked.shard
 		if shard.View().Has(h.Self) {
-			list = append(list, Status{Shard: views.Shard(i), View: shard.View(), Synced: shard.Synced(), IDs: shard.Len()})
+			list = append(list, Status{Shard: views.Shard(i), View: shard.View(), StateSynced: shard.Synced(), IDs: shard.Len()})
 		}
 		locked.mu.Unlock()
 	}
