--- a/kernel/tail/tail.go
+++ b/kernel/tail/tail.go
@@ -128,7 +128,7 @@
 
 // Tailer follows one stream in order. Set the fields before Run.
 type Tailer struct {
-	Log    Reader
+	Reader Reader
 	Stream ident.Stream
 	Clock  *clock.Clock
 	// From is the first offset wanted; 0 means the oldest kept.
@@ -159,7 +159,7 @@
 	for ctx.Err() == nil {
 		startedAt := t.Clock.Mono()
 		readCtx, cancel := context.WithTimeout(ctx, timeout.Duration())
-		batch, err := t.Log.Read(readCtx, t.Stream, next, wait)
+		batch, err := t.Reader.Read(readCtx, t.Stream, next, wait)
 		cancel()
 		if err != nil {
 			if t.OnError != nil && ctx.Err() == nil {
--- a/kernel/tail/tailer_test.go
+++ b/kernel/tail/tailer_test.go
@@ -27,7 +27,7 @@
 	defer cancel()
 	read := 0
 	tailer := &Tailer{
-		Log: busyReader{delay: 150 * time.Millisecond}, Stream: "s.0", Clock: clock.New(), Timeout: 60,
+		Reader: busyReader{delay: 150 * time.Millisecond}, Stream: "s.0", Clock: clock.New(), Timeout: 60,
 		Apply: func(Batch) {
 			read++
 			cancel()
@@ -54,7 +54,7 @@
 	for _, c := range []struct{ span, currentAt clock.Millis }{{span: 4, currentAt: 4}, {span: 5700, currentAt: 500 + maxResponseDelay}} {
 		manual := clock.NewManual(clock.Minute)
 		ctx, stop := context.WithCancel(t.Context())
-		tailer := &Tailer{Log: &frozenLog{clock: manual, stall: c.span}, Clock: manual, Wait: 500, Apply: func(b Batch) {
+		tailer := &Tailer{Reader: &frozenLog{clock: manual, stall: c.span}, Clock: manual, Wait: 500, Apply: func(b Batch) {
 			if got := b.CurrentAt - clock.Minute; got != c.currentAt {
 				t.Errorf("a response after %d ms is current at %d ms, want %d", c.span, got, c.currentAt)
 			}
