--- a/croftmoor/relay/relay.go
+++ b/croftmoor/relay/relay.go
@@ -47,9 +47,9 @@
 	// totalTimeout bounds a call beyond the wait that the caller allows. Callers wait 1.5 s
 	// beyond that wait; the difference is for the transfer of a long page.
 	totalTimeout = 1300 * clock.Millis(1)
-	// endTimeout is how long a follower may take to end a job, which it writes to the log,
+	// endHedgeDelay is how long a follower may take to end a job, which it writes to the log,
 	// before the next follower is asked too.
-	endTimeout = 3 * clock.Second
+	endHedgeDelay = 3 * clock.Second
 )
 
 // timeouts are the time limits of a call to followers.
@@ -94,10 +94,10 @@
 	if r.LedgerCurrent() {
 		return r.Local.Read(ctx, by, job, from, wait)
 	}
-	until := r.Clock.Mono() + wait
+	deadline := r.Clock.Mono() + wait
 	answer, err := ask(ctx, r, job, timeouts{hedge: wait + hedgeDelay, total: wait + totalTimeout}, intake.Unsure, func(ctx context.Context, to ident.Address) (*pageWire, error) {
-		left := max(until-r.Clock.Mono(), 0)
-		return rpcs.Call[readWire, pageWire](ctx, r.client, to, readPath, &readWire{Organisation: string(by), Job: string(job), From: from, WaitMillis: int64(left)})
+		remaining := max(deadline-r.Clock.Mono(), 0)
+		return rpcs.Call[readWire, pageWire](ctx, r.client, to, readPath, &readWire{Organisation: string(by), Job: string(job), From: from, WaitMillis: int64(remaining)})
 	})
 	if err != nil {
 		return intake.Page{}, err
@@ -124,7 +124,7 @@
 	if r.LedgerCurrent() {
 		return r.Local.End(ctx, by, job)
 	}
-	_, err := ask(ctx, r, job, timeouts{hedge: endTimeout, total: maxFollowers * endTimeout}, intake.Uncertain, func(ctx context.Context, to ident.Address) (*emptyWire, error) {
+	_, err := ask(ctx, r, job, timeouts{hedge: endHedgeDelay, total: maxFollowers * endHedgeDelay}, intake.Uncertain, func(ctx context.Context, to ident.Address) (*emptyWire, error) {
 		return rpcs.Call[jobWire, emptyWire](ctx, r.client, to, endPath, &jobWire{Organisation: string(by), Job: string(job)})
 	})
 	return err
--- a/croftmoor/relay/relay_test.go
+++ b/croftmoor/relay/relay_test.go
@@ -231,7 +231,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			ctx, cancel := context.WithTimeout(t.Context(), (endTimeout + clock.Second).Duration())
+			ctx, cancel := context.WithTimeout(t.Context(), (endHedgeDelay + clock.Second).Duration())
 			defer cancel()
 			wantKind(t, relayTo(tc.followers...).End(ctx, "", "j"), tc.want)
 		})
--- a/croftmoor/rpcs/rpcs.go
+++ b/croftmoor/rpcs/rpcs.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	dialTimeout = 500 * clock.Millis(1)
-	idlePerPeer = 4
-	idleTimeout = 30 * clock.Second
+	dialTimeout         = 500 * clock.Millis(1)
+	maxIdleConnsPerPeer = 4
+	idleTimeout         = 30 * clock.Second
 	// pingAfter is how long a connection may be silent before it is pinged, and pingTimeout
 	// how long the response may take before the connection is closed as dead.
 	pingAfter       = 2 * clock.Second
@@ -60,7 +60,7 @@
 func NewClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout.Duration()}
 	return &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: idlePerPeer, IdleConnTimeout: idleTimeout.Duration(),
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnsPerPeer, IdleConnTimeout: idleTimeout.Duration(),
 		Protocols: CleartextHTTP2(), HTTP2: &http.HTTP2Config{SendPingTimeout: pingAfter.Duration(), PingTimeout: pingTimeout.Duration()},
 	}}
 }
--- a/kernel/ident/ident_test.go
+++ b/kernel/ident/ident_test.go
@@ -18,8 +18,8 @@
 		{first, 1_772_000_000_000, false}, {first, 1_772_000_000_001, true}, {first, 0, false}, {NewBackend("i-1", 0), 7, false},
 	}
 	for _, c := range cases {
-		if other, is := c.name.OtherStart(c.reported); is != c.other {
-			t.Errorf("%s, reported start %d: differs %v (%s), want %v", c.name, c.reported, is, other, c.other)
+		if other, differs := c.name.OtherStart(c.reported); differs != c.other {
+			t.Errorf("%s, reported start %d: differs %v (%s), want %v", c.name, c.reported, differs, other, c.other)
 		}
 	}
 }
--- a/kernel/tail/tailer_test.go
+++ b/kernel/tail/tailer_test.go
@@ -51,12 +51,12 @@
 }
 
 func TestTailerTellsUntilWhenAnAnswerHolds(t *testing.T) {
-	for _, c := range []struct{ span, currentAt clock.Millis }{{span: 4, currentAt: 4}, {span: 5700, currentAt: 500 + maxResponseDelay}} {
+	for _, c := range []struct{ stall, currentAt clock.Millis }{{stall: 4, currentAt: 4}, {stall: 5700, currentAt: 500 + maxResponseDelay}} {
 		manual := clock.NewManual(clock.Minute)
 		ctx, stop := context.WithCancel(t.Context())
-		tailer := &Tailer{Reader: &frozenLog{clock: manual, stall: c.span}, Clock: manual, Wait: 500, Apply: func(b Batch) {
+		tailer := &Tailer{Reader: &frozenLog{clock: manual, stall: c.stall}, Clock: manual, Wait: 500, Apply: func(b Batch) {
 			if got := b.CurrentAt - clock.Minute; got != c.currentAt {
-				t.Errorf("a response after %d ms is current at %d ms, want %d", c.span, got, c.currentAt)
+				t.Errorf("a response after %d ms is current at %d ms, want %d", c.stall, got, c.currentAt)
 			}
 			stop()
 		}}
--- a/kernel/tail/writer.go
+++ b/kernel/tail/writer.go
@@ -106,41 +106,41 @@
 // one. It retries until the log has acknowledged them or ctx ends. A Refused error then means
 // that the log does not have them and never will, an Unknown error that it may have them.
 func (w *Writer) Write(ctx context.Context, stream ident.Stream, records ...[]byte) (ident.Offset, error) {
-	e := &pendingWrite{records: records, done: make(chan result, 1)}
+	write := &pendingWrite{records: records, done: make(chan result, 1)}
 	for _, r := range records {
-		e.bytes += len(r) + recordOverhead
+		write.bytes += len(r) + recordOverhead
 	}
-	q := w.queue(stream)
+	q := w.queueOf(stream)
 	if q == nil {
 		return 0, fault.New("tail.Write", Refused, "the writer does not run")
 	}
 	q.mu.Lock()
-	q.pending = append(q.pending, e)
+	q.pending = append(q.pending, write)
 	q.mu.Unlock()
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 	select {
-	case o := <-e.done:
-		return o.first, o.err
+	case res := <-write.done:
+		return res.first, res.err
 	case <-ctx.Done():
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	select {
-	case o := <-e.done:
-		return o.first, o.err
+	case res := <-write.done:
+		return res.first, res.err
 	default:
 	}
-	e.abandoned = true
-	if e.sent {
+	write.abandoned = true
+	if write.sent {
 		return 0, fault.Wrap("tail.Write", Unknown, ctx.Err(), "no word from the log on "+string(stream))
 	}
 	return 0, fault.Wrap("tail.Write", Refused, ctx.Err(), "not written to "+string(stream))
 }
 
-func (w *Writer) queue(stream ident.Stream) *queue {
+func (w *Writer) queueOf(stream ident.Stream) *queue {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ctx == nil || w.ctx.Err() != nil {
@@ -171,7 +171,7 @@
 			if len(batch) == 0 {
 				break
 			}
-			w.append(ctx, stream, q, batch)
+			w.sendBatch(ctx, stream, q, batch)
 		}
 	}
 }
@@ -184,24 +184,24 @@
 	var batch []*pendingWrite
 	size := 0
 	for len(q.pending) > 0 {
-		e := q.pending[0]
-		if len(batch) > 0 && size+e.bytes > maxBytes {
+		write := q.pending[0]
+		if len(batch) > 0 && size+write.bytes > maxBytes {
 			break
 		}
 		q.pending = q.pending[1:]
-		if e.abandoned {
+		if write.abandoned {
 			continue
 		}
-		size += e.bytes
-		batch = append(batch, e)
+		size += write.bytes
+		batch = append(batch, write)
 	}
 	return batch
 }
 
-// append sends a batch until the log acknowledges it, no caller waits for it, or ctx ends.
-func (w *Writer) append(ctx context.Context, stream ident.Stream, q *queue, batch []*pendingWrite) {
+// sendBatch sends a batch until the log acknowledges it, no caller waits for it, or ctx ends.
+func (w *Writer) sendBatch(ctx context.Context, stream ident.Stream, q *queue, batch []*pendingWrite) {
 	timeout := min(max(timeoutFactor*q.smoothedLatency, minTimeout), maxTimeout)
-	pause := minBackoff
+	backoff := minBackoff
 	// outcomeUnknown reports whether an attempt ended without a response of the log. Only the
 	// first retry is sent at once: a single response may get lost, but a log that resets one
 	// connection often resets the next one too.
@@ -228,8 +228,8 @@
 		switch fault.KindOf[Kind](err) {
 		case Refused:
 			q.unmarkSent(batch)
-			w.Clock.Sleep(ctx, jitter(pause))
-			pause = min(2*pause, maxBackoff)
+			w.Clock.Sleep(ctx, jitter(backoff))
+			backoff = min(2*backoff, maxBackoff)
 		case OutOfOrder:
 			q.epoch++
 			q.seq = 1
@@ -237,8 +237,8 @@
 			q.markOutcomeUnknown(batch)
 			timeout = min(2*timeout, maxTimeout)
 			if outcomeUnknown {
-				w.Clock.Sleep(ctx, jitter(pause))
-				pause = min(2*pause, maxBackoff)
+				w.Clock.Sleep(ctx, jitter(backoff))
+				backoff = min(2*backoff, maxBackoff)
 			}
 			outcomeUnknown = true
 		}
@@ -252,13 +252,13 @@
 	defer q.mu.Unlock()
 	kept := (*batch)[:0]
 	var records [][]byte
-	for _, e := range *batch {
-		if e.abandoned && !e.sent {
+	for _, write := range *batch {
+		if write.abandoned && !write.sent {
 			continue
 		}
-		e.sent = true
-		kept = append(kept, e)
-		records = append(records, e.records...)
+		write.sent = true
+		kept = append(kept, write)
+		records = append(records, write.records...)
 	}
 	*batch = kept
 	return records, len(kept) > 0
@@ -269,9 +269,9 @@
 func (q *queue) unmarkSent(batch []*pendingWrite) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, e := range batch {
-		if !e.outcomeUnknown {
-			e.sent = false
+	for _, write := range batch {
+		if !write.outcomeUnknown {
+			write.sent = false
 		}
 	}
 }
@@ -279,8 +279,8 @@
 func (q *queue) markOutcomeUnknown(batch []*pendingWrite) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, e := range batch {
-		e.outcomeUnknown = true
+	for _, write := range batch {
+		write.outcomeUnknown = true
 	}
 }
 
@@ -288,9 +288,9 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.seq++
-	for _, e := range batch {
-		e.done <- result{first: first}
-		first += ident.Offset(len(e.records))
+	for _, write := range batch {
+		write.done <- result{first: first}
+		first += ident.Offset(len(write.records))
 	}
 }
 
--- a/kernel/tail/writer_test.go
+++ b/kernel/tail/writer_test.go
@@ -74,7 +74,7 @@
 		cancel()
 		group.Wait()
 	})
-	for w.queue("s") == nil {
+	for w.queueOf("s") == nil {
 		time.Sleep(time.Millisecond)
 	}
 	return w
