--- a/croftmoor/relay/relay.go
+++ b/croftmoor/relay/relay.go
@@ -45,7 +45,7 @@
 	// before the next follower is asked too.
 	hedgeDelay = 700 * clock.Millis(1)
 	// totalTimeout bounds a call beyond the wait that the caller allows. Callers wait 1.5 s
-	// beyond that wait; the difference is for the transfer of a long page.
+	// beyond what they allow, and totalTimeout must leave time to transfer a long page.
 	totalTimeout = 1300 * clock.Millis(1)
 	// endHedgeDelay is how long a follower may take to end a job, which it writes to the log,
 	// before the next follower is asked too.
@@ -143,8 +143,8 @@
 // error without a kind counts as defaultKind.
 //
 // If a follower is late, ask calls the next one and waits for both. The late follower has
-// already read part of the data; if it were cancelled, each follower would start over until
-// the caller's time is up.
+// already done part of the work; if its call were cancelled, each follower would start over
+// until the caller's time is up.
 func ask[A any](ctx context.Context, r *Relay, job ident.Job, t timeouts, defaultKind intake.Kind, call func(context.Context, ident.Address) (*A, error)) (*A, error) {
 	remaining := candidates(r.Followers(string(job)))
 	if len(remaining) == 0 {
--- a/kernel/clock/clock.go
+++ b/kernel/clock/clock.go
@@ -68,11 +68,11 @@
 }
 
 // Mono returns monotonic time since New, or the time of a manual clock. It includes the time
-// in which the host was suspended, which the monotonic clock of package time leaves out:
-// leases, deadlines and timeouts also expire for others during a suspension, so all of them
-// are compared with this clock. Timers stand still during a suspension; code that runs on a
-// timer must read this clock before it acts. A reading costs a system call. On a host without
-// this clock, Mono leaves out suspensions.
+// in which the host was suspended, which the monotonic clock of package time leaves out. Use
+// it for all leases, deadlines, timeouts and ages, because they also run on at other instances
+// and at callers during a suspension. Timers stand still during a suspension: code that runs
+// on a timer must read this clock before it acts. A reading costs a system call. On a host
+// without this clock, Mono leaves out suspensions.
 func (c *Clock) Mono() Millis {
 	if c.manual != nil {
 		c.manual.mu.Lock()
--- a/kernel/httpc/httpc.go
+++ b/kernel/httpc/httpc.go
@@ -166,6 +166,8 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which package syscall lacks.
 const tcpUserTimeout = 18
 
+// acquire returns an idle connection, or dials if there is none or call.FreshConn is set.
+// reused reports whether the connection was idle.
 func (c *Client) acquire(ctx context.Context, call *Call) (l *link, reused bool, err error) {
 	if !call.FreshConn {
 		if l = c.takeIdle(call.Address); l != nil {
@@ -377,8 +379,8 @@
 	return list
 }
 
-// StatusError returns a Lost error for a response with an unexpected status. Its text contains
-// the status and the body.
+// StatusError returns a Lost error for a response that is not usable because of its status. Its
+// text contains the status and the body.
 func StatusError(call *Call, answer *Answer) error {
 	return fault.New("httpc.Do", Lost, string(call.Address)+" answered "+strconv.Itoa(answer.Status)+" to "+call.Path+": "+string(answer.Body))
 }
--- a/kernel/httpc/stream.go
+++ b/kernel/httpc/stream.go
@@ -17,9 +17,10 @@
 	Headers []Header
 	Body    *bufio.Reader
 
-	client   *Client
-	call     *Call
-	link     *link
+	client *Client
+	call   *Call
+	link   *link
+	// stop detaches link from the context of Open. It returns false if that context has ended.
 	stop     func() bool
 	head     fasthttp.ResponseHeader
 	complete bool
--- a/kernel/strict/strict.go
+++ b/kernel/strict/strict.go
@@ -218,7 +218,7 @@
 	return objects
 }
 
-// RefuseUnknown adds a problem for each field that was not requested.
+// RefuseUnknown adds a problem for each field that was not requested, in no particular order.
 func (o *Object) RefuseUnknown() {
 	known := make([]string, 0, len(o.requested))
 	for name := range o.requested {
--- a/kernel/tail/tail.go
+++ b/kernel/tail/tail.go
@@ -29,7 +29,7 @@
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Record is one record of a stream.
+// Record is one record of a stream. At is the log's wall-clock time of the append.
 type Record struct {
 	Offset ident.Offset
 	At     clock.Millis
@@ -43,8 +43,7 @@
 	Next    ident.Offset
 	Records []Record
 	// CurrentAt is the latest time, on the reader's monotonic clock, at which the batch is
-	// known to have been up to date; 0 means the time of its receipt. See the function
-	// CurrentAt.
+	// known to have been up to date; 0 means the time of its receipt.
 	CurrentAt clock.Millis
 }
 
@@ -142,10 +141,10 @@
 	// values mean the defaults.
 	Wait    clock.Millis
 	Timeout clock.Millis
-	// Pause returns how long to wait at the end of the stream before the next read, so that
-	// records that arrive one by one share a read; nil means no wait.
+	// Pause returns how long to wait between two reads once the end of the stream is reached,
+	// so that records that arrive one by one share a read; nil means no wait.
 	Pause func() clock.Millis
-	// Wake ends such a wait early when a value is received from it; it may be nil.
+	// Wake ends the wait of Pause early when a value is received from it; it may be nil.
 	Wake <-chan struct{}
 }
 
--- a/kernel/tail/writer.go
+++ b/kernel/tail/writer.go
@@ -140,6 +140,8 @@
 	return 0, fault.Wrap("tail.Write", Refused, ctx.Err(), "not written to "+string(stream))
 }
 
+// queueOf returns the stream's queue, or nil if the writer is not running. The first call for
+// a stream creates the queue and starts its drain.
 func (w *Writer) queueOf(stream ident.Stream) *queue {
 	w.mu.Lock()
 	defer w.mu.Unlock()
