--- a/croftmoor/guard/guard.go
+++ b/croftmoor/guard/guard.go
@@ -100,7 +100,7 @@
 	g.ctx = ctx
 	g.mu.Unlock()
 	tailer := &tail.Tailer{
-		Reader: g.Reader, Stream: Stream, Clock: g.Clock, Apply: g.apply, Wait: readWait, Timeout: readTimeout,
+		Source: g.Reader, Stream: Stream, Clock: g.Clock, Apply: g.apply, Wait: readWait, Timeout: readTimeout,
 		Pause: func() clock.Millis { return readPause },
 	}
 	g.readAtOnce(ctx)
--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -111,7 +111,7 @@
 // Run follows the ledger and tells that this instance is alive until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	tailer := &tail.Tailer{
-		Reader: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, OnError: l.failed,
+		Source: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, OnError: l.failed,
 		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Wake: l.hurry,
 	}
 	var group conc.WaitGroup
--- a/croftmoor/serve/serve.go
+++ b/croftmoor/serve/serve.go
@@ -228,7 +228,7 @@
 	i.tail = log
 	i.logSeen.Store(-int64(clock.Minute))
 	i.reader = &fold.Reader{Changed: i.onState}
-	i.tailer = &tail.Tailer{Reader: log, Stream: fold.Stream, Clock: i.clock, Apply: i.onBatch, OnError: i.onLogFailure}
+	i.tailer = &tail.Tailer{Source: log, Stream: fold.Stream, Clock: i.clock, Apply: i.onBatch, OnError: i.onLogFailure}
 	i.fleet = &fleet.Table{Directory: directory, Clock: i.clock, Period: c.ListPeriod}
 	return nil
 }
--- a/kernel/tail/tail.go
+++ b/kernel/tail/tail.go
@@ -127,7 +127,7 @@
 
 // Tailer follows one stream in order. Set the fields before Run.
 type Tailer struct {
-	Reader Reader
+	Source Reader
 	Stream ident.Stream
 	Clock  *clock.Clock
 	// From is the first offset wanted; 0 means the oldest kept.
@@ -158,7 +158,7 @@
 	for ctx.Err() == nil {
 		startedAt := t.Clock.Mono()
 		readCtx, cancel := context.WithTimeout(ctx, timeout.Duration())
-		batch, err := t.Reader.Read(readCtx, t.Stream, next, wait)
+		batch, err := t.Source.Read(readCtx, t.Stream, next, wait)
 		cancel()
 		if err != nil {
 			if t.OnError != nil && ctx.Err() == nil {
--- a/kernel/tail/tailer_test.go
+++ b/kernel/tail/tailer_test.go
@@ -27,7 +27,7 @@
 	defer cancel()
 	read := 0
 	tailer := &Tailer{
-		Reader: busyReader{delay: 150 * time.Millisecond}, Stream: "s.0", Clock: clock.New(), Timeout: 60,
+		Source: busyReader{delay: 150 * time.Millisecond}, Stream: "s.0", Clock: clock.New(), Timeout: 60,
 		Apply: func(Batch) {
 			read++
 			cancel()
@@ -54,7 +54,7 @@
 	for _, c := range []struct{ stall, currentAt clock.Millis }{{stall: 4, currentAt: 4}, {stall: 5700, currentAt: 500 + maxResponseDelay}} {
 		manual := clock.NewManual(clock.Minute)
 		ctx, stop := context.WithCancel(t.Context())
-		tailer := &Tailer{Reader: &frozenLog{clock: manual, stall: c.stall}, Clock: manual, Wait: 500, Apply: func(b Batch) {
+		tailer := &Tailer{Source: &frozenLog{clock: manual, stall: c.stall}, Clock: manual, Wait: 500, Apply: func(b Batch) {
 			if got := b.CurrentAt - clock.Minute; got != c.currentAt {
 				t.Errorf("a response after %d ms is current at %d ms, want %d", c.stall, got, c.currentAt)
 			}
