--- a/croftmoor/guard/guard.go
+++ b/croftmoor/guard/guard.go
@@ -99,7 +99,7 @@
 	g.ctx = ctx
 	g.mu.Unlock()
 	tailer := &tail.Tailer{
-		Log: g.Reader, Stream: Stream, Clock: g.Clock, Apply: g.apply, Wait: pollWait, Timeout: readTimeout,
+		Source: g.Reader, Stream: Stream, Clock: g.Clock, Apply: g.apply, Wait: pollWait, Timeout: readTimeout,
 		Pause: func() clock.Millis { return readPause },
 	}
 	g.readExisting(ctx)
--- a/croftmoor/ledger/ledger.go
+++ b/croftmoor/ledger/ledger.go
@@ -112,7 +112,7 @@
 // Run follows the ledger's stream and sends heartbeats until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	tailer := &tail.Tailer{
-		Log: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, OnError: l.readFailed,
+		Source: l.Reader, Stream: Stream, Clock: l.Clock, Apply: l.apply, OnError: l.readFailed,
 		Wait: readWait, Timeout: readTimeout, Pause: l.pause, Wake: l.readNow,
 	}
 	var group conc.WaitGroup
