--- a/croftmoor/relay/relay_test.go
+++ b/croftmoor/relay/relay_test.go
@@ -34,7 +34,7 @@
 
 func (a *fakeJobs) Read(ctx context.Context, by ident.Organisation, _ ident.Job, _ int, _ clock.Millis) (intake.Page, error) {
 	a.by = by
-	clock.New().Sleep(ctx, a.latency)
+	clock.New().Sleep(context.WithoutCancel(ctx), a.latency)
 	return a.page, a.err
 }
 
@@ -46,7 +46,7 @@
 func (a *fakeJobs) End(ctx context.Context, by ident.Organisation, _ ident.Job) error {
 	a.by = by
 	a.ends++
-	clock.New().Sleep(ctx, a.latency)
+	clock.New().Sleep(context.WithoutCancel(ctx), a.latency)
 	return a.err
 }
 
