--- a/croftmoor/calls/calls.go
+++ b/croftmoor/calls/calls.go
@@ -191,7 +191,7 @@
 }
 
 func (c *Caller) pick(r Request, tried []ident.BackendName, try int) *pool.Server {
-	server, runnerUp, reason := c.Pool.Pick(pool.Query{ID: r.ID, Service: r.Service, Not: tried})
+	server, runnerUp, reason := c.Pool.Pick(pool.Query{ID: r.ID, Service: r.Service, Exclude: tried})
 	if server == nil {
 		c.note(r, trail.Refuse, "", "", reason)
 		return nil
--- a/croftmoor/calls/calls_test.go
+++ b/croftmoor/calls/calls_test.go
@@ -108,7 +108,7 @@
 	}
 	table.Set(members)
 	p := &pool.Pool{Fleet: table, Clock: clk}
-	p.Follow()
+	p.Refresh()
 	return &Caller{Self: "self", Pool: p, Claimer: c, Clock: clk, Trail: &trail.Trail{Log: zerolog.Nop(), Clock: clk}}
 }
 
--- a/croftmoor/feed/book.go
+++ b/croftmoor/feed/book.go
@@ -244,7 +244,7 @@
 	}
 	t := &try{
 		book: b, step: s, attempt: attempt, trainer: trainer, service: service, first: server,
-		priority: policy.Priority(before), least: query.Least,
+		priority: policy.Priority(before), least: query.MinVersion,
 	}
 	f.Trail.Add(trail.Decision{
 		ID: t.id(), Action: trail.Place, Choice: string(server.Name), RunnerUp: string(runnerUp), Reason: reason,
@@ -283,7 +283,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return pool.Query{
-		Service: service, Trainer: b.trainer, Least: max(0, b.newest-policy.MaxVersionsBehind(limits, before)), Most: policy.MaxLoad(limits),
+		Service: service, Trainer: b.trainer, MinVersion: max(0, b.newest-policy.MaxVersionsBehind(limits, before)), MaxLoad: policy.MaxLoad(limits),
 	}
 }
 
--- a/croftmoor/feed/try.go
+++ b/croftmoor/feed/try.go
@@ -112,7 +112,7 @@
 	if left < s.Tokens/2 {
 		left = min(s.Tokens, spec.MaxTokens-s.Tokens)
 	}
-	server, rate := f.Pool.Best(b.query(b.policy(), t.trainer, t.service, 0), s.Server)
+	server, rate := f.Pool.Fastest(b.query(b.policy(), t.trainer, t.service, 0), s.Server)
 	moving := place.MoveCandidate{LastOfStep: last, TokensLeft: left, Rate: s.Rate, OtherRate: rate, Moves: s.Moves}
 	if server == nil || !b.policy().ShouldMove(moving) {
 		return nil
--- a/croftmoor/gener/gener.go
+++ b/croftmoor/gener/gener.go
@@ -87,7 +87,7 @@
 	Trail  *trail.Trail
 	// Mismatch is told when a stream names an older version than the server's
 	// load report; it must not block, and may be nil.
-	Mismatch func(pool.Sighting)
+	Mismatch func(pool.ObservedVersion)
 }
 
 const (
@@ -148,7 +148,7 @@
 func (r *run) pick(try int) (*pool.Server, bool) {
 	if next := r.next; next != nil {
 		r.next = nil
-		r.Pool.Take(next, r.live())
+		r.Pool.Acquire(next, r.live())
 		return next, true
 	}
 	if try == 0 && r.request.First != nil {
@@ -156,11 +156,11 @@
 	}
 	query := pool.Query{
 		ID: r.request.ID, Service: r.request.Service, Family: guess.Family(r.request.Prompt),
-		Not: r.tried, Trainer: r.request.Adapter, Least: r.request.Least, Live: r.live(),
+		Exclude: r.tried, Trainer: r.request.Adapter, MinVersion: r.request.Least, Live: r.live(),
 	}
 	server, runnerUp, reason := r.Pool.Pick(query)
 	if server == nil && len(r.tried) > 0 {
-		query.Not = nil
+		query.Exclude = nil
 		server, runnerUp, reason = r.Pool.Pick(query)
 	}
 	if server == nil {
@@ -202,7 +202,7 @@
 // moveLive moves a live answer, once, that gets less than half of the rate that
 // it would get elsewhere: its engine has become slow, and it has a deadline.
 func (r *run) moveLive(s Standing) *pool.Server {
-	server, rate := r.Pool.Best(pool.Query{Service: r.request.Service, Live: true}, s.Server)
+	server, rate := r.Pool.Fastest(pool.Query{Service: r.request.Service, Live: true}, s.Server)
 	if s.Moves > 0 || server == nil || 2*s.Rate >= rate {
 		return nil
 	}
@@ -280,8 +280,8 @@
 	r.text.WriteString(event.Text)
 	r.answer.Tokens += event.Tokens
 	r.answer.Spans = addSpan(r.answer.Spans, event)
-	if server.NoteVersion(r.request.Adapter, event.Version, r.Clock.Mono()) && r.Mismatch != nil {
-		r.Mismatch(pool.Sighting{Service: server.Service, Server: server.Name, Trainer: r.request.Adapter, Version: event.Version})
+	if server.RecordVersion(r.request.Adapter, event.Version, r.Clock.Mono()) && r.Mismatch != nil {
+		r.Mismatch(pool.ObservedVersion{Service: server.Service, Server: server.Name, Trainer: r.request.Adapter, Version: event.Version})
 	}
 	part := Part{Text: event.Text, Tokens: event.Tokens, Version: event.Version, Backend: server.Name}
 	if r.request.Part != nil && !r.request.Part(part) {
@@ -303,7 +303,7 @@
 		return nil
 	}
 	got := r.answer.Tokens - r.base
-	server.NoteSpeed(got, span, r.request.Service.Slots)
+	server.RecordSpeed(got, span, r.request.Service.Slots)
 	r.since, r.base = now, r.answer.Tokens
 	standing := Standing{Server: server, Tokens: r.answer.Tokens, Rate: float64(got) / span.Duration().Seconds(), Moves: r.moves}
 	if r.request.Move == nil {
--- a/croftmoor/gener/gener_test.go
+++ b/croftmoor/gener/gener_test.go
@@ -69,7 +69,7 @@
 		{Name: "a", Kind: fleet.Backend, Service: "m", State: fleet.Live}, {Name: "b", Kind: fleet.Backend, Service: "m", State: fleet.Live},
 	})
 	p := &pool.Pool{Fleet: table, Clock: clk}
-	p.Follow()
+	p.Refresh()
 	g := &Generator{Pool: p, Engine: s, Clock: clk, Trail: &trail.Trail{Log: zerolog.Nop(), Clock: clk}}
 	service := conf.Service{Name: "m", Kind: conf.Model, Slots: 4, Policy: route.RoundRobin}
 	return g.Generate(context.Background(), Request{ID: "x", Service: service, Prompt: "p", Most: 100})
--- a/croftmoor/keeper/keeper.go
+++ b/croftmoor/keeper/keeper.go
@@ -136,7 +136,7 @@
 func (k *Keeper) reconcile(ctx context.Context, trainer ident.Trainer, service conf.Service, role string, fence ident.Fence, count int) {
 	want := k.wanted(trainer)
 	now := k.Clock.Mono()
-	for _, server := range k.Pool.Carriers(service.Name, trainer, count) {
+	for _, server := range k.Pool.TrainerServers(service.Name, trainer, count) {
 		if want == 0 || server.Version(trainer) >= want {
 			continue
 		}
--- a/croftmoor/peers/client.go
+++ b/croftmoor/peers/client.go
@@ -121,7 +121,7 @@
 }
 
 // Note tells an instance of a sighting.
-func (c *Client) Note(ctx context.Context, to ident.InstanceName, s pool.Sighting) error {
+func (c *Client) Note(ctx context.Context, to ident.InstanceName, s pool.ObservedVersion) error {
 	message := sightingToWire(s)
 	_, err := call[sightingWire, emptyWire](ctx, c, to, notePath, &message)
 	return err
--- a/croftmoor/peers/peers.go
+++ b/croftmoor/peers/peers.go
@@ -94,7 +94,7 @@
 
 // Noter takes over the sightings of other instances.
 type Noter interface {
-	Note(s pool.Sighting)
+	Note(s pool.ObservedVersion)
 }
 
 // Shards is the at-most-once part of an instance as its peers use it.
--- a/croftmoor/peers/wire.go
+++ b/croftmoor/peers/wire.go
@@ -131,12 +131,12 @@
 	Version int64
 }
 
-func sightingToWire(s pool.Sighting) sightingWire {
+func sightingToWire(s pool.ObservedVersion) sightingWire {
 	return sightingWire{Service: string(s.Service), Server: string(s.Server), Trainer: string(s.Trainer), Version: int64(s.Version)}
 }
 
-func sightingFromWire(w sightingWire) pool.Sighting {
-	return pool.Sighting{
+func sightingFromWire(w sightingWire) pool.ObservedVersion {
+	return pool.ObservedVersion{
 		Service: ident.Service(w.Service), Server: ident.BackendName(w.Server),
 		Trainer: ident.Trainer(w.Trainer), Version: ident.Version(w.Version),
 	}
--- a/croftmoor/pool/again_test.go
+++ b/croftmoor/pool/again_test.go
@@ -17,14 +17,14 @@
 		table.Set([]fleet.Member{{
 			Name: string(ident.NewBackend("s", born)), Kind: fleet.Backend, Service: "x", State: fleet.Live, Address: "1.2.3.4:5",
 		}})
-		p.Follow()
+		p.Refresh()
 		return p.Servers("x")[0]
 	}
 	first := list(1)
 	for range 3 {
 		first.Breaker.RecordFailure(c.Mono())
 	}
-	first.NoteLoad(Report{Running: 9}, c.Mono())
+	first.RecordLoad(Report{Running: 9}, c.Mono())
 	ended := make(chan struct{})
 	first.OnRestart(func() { close(ended) })
 	t.Run("the same start keeps what is known of it", func(t *testing.T) {
@@ -35,7 +35,7 @@
 	// Its clock has gone back, so that the new start seems to be the earlier one.
 	second := list(0x10)
 	t.Run("nothing that was known of the earlier start counts", func(t *testing.T) {
-		if !second.Usable(c.Mono()) || second.Status(c.Mono()).Believed != 0 {
+		if !second.Usable(c.Mono()) || second.Status(c.Mono()).EstimatedLoad != 0 {
 			t.Error("the new start is kept out, or has the load of the old one")
 		}
 	})
--- a/croftmoor/pool/follow.go
+++ b/croftmoor/pool/follow.go
@@ -7,8 +7,8 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Follow takes over the fleet's view, if it is a new one.
-func (p *Pool) Follow() {
+// Refresh takes over the fleet's view, if it is a new one.
+func (p *Pool) Refresh() {
 	view := p.Fleet.View()
 	if view == p.followed {
 		return
--- a/croftmoor/pool/pool.go
+++ b/croftmoor/pool/pool.go
@@ -26,8 +26,8 @@
 	Running int
 	Waiting int
 	Slots   int
-	// Pace is how many times as long as usual work takes now; 0 if the server does not say.
-	Pace     float64
+	// Slowdown is how many times as long as usual work takes now; 0 if the server does not say.
+	Slowdown float64
 	Draining bool
 	Versions map[ident.Trainer]ident.Version
 	Cached   []string
@@ -75,10 +75,10 @@
 	Clock    *clock.Clock
 	Self     string
 	Zone     ident.Zone
-	// Crossing is the one-way latency to another availability zone.
-	Crossing clock.Millis
-	// Period is the pause between two load reports of a server.
-	Period clock.Millis
+	// ZoneLatency is the one-way latency to another availability zone.
+	ZoneLatency clock.Millis
+	// PollInterval is the pause between two load reports of a server.
+	PollInterval clock.Millis
 	// Subset is how many servers of a service this instance uses.
 	Subset int
 	// Warm tells whether a connection to an address rests; it may be nil.
@@ -108,11 +108,11 @@
 // Run follows the fleet and polls loads until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	for {
-		p.Follow()
+		p.Refresh()
 		if p.Reporter != nil {
 			p.poll(ctx)
 		}
-		if !p.Clock.Sleep(ctx, p.Period) {
+		if !p.Clock.Sleep(ctx, p.PollInterval) {
 			return
 		}
 	}
@@ -170,8 +170,8 @@
 	}
 }
 
-// Sighting is a version that a stream named, against the load report.
-type Sighting struct {
+// ObservedVersion is a version that a stream named, against the load report.
+type ObservedVersion struct {
 	Service ident.Service
 	Server  ident.BackendName
 	Trainer ident.Trainer
@@ -179,9 +179,9 @@
 }
 
 // Note takes over another instance's sighting.
-func (p *Pool) Note(s Sighting) {
+func (p *Pool) Note(s ObservedVersion) {
 	if server := find(p.Servers(s.Service), s.Server); server != nil {
-		server.NoteVersion(s.Trainer, s.Version, p.Clock.Mono())
+		server.RecordVersion(s.Trainer, s.Version, p.Clock.Mono())
 	}
 }
 
@@ -190,18 +190,18 @@
 	ID      ident.RequestID
 	Service conf.Service
 	Family  string
-	// Not lists servers that were tried.
-	Not []ident.BackendName
+	// Exclude lists servers that were tried.
+	Exclude []ident.BackendName
 	// Trainer and Least ask for servers that run at least a version of a
 	// trainer's weights, as far as known.
-	Trainer ident.Trainer
-	Least   ident.Version
-	// Most leaves out servers whose load is believed to reach it; 0 is no limit.
-	Most int
+	Trainer    ident.Trainer
+	MinVersion ident.Version
+	// MaxLoad leaves out servers whose load is believed to reach it; 0 is no limit.
+	MaxLoad int
 	// Live tells a live request from a rollout.
 	Live bool
-	// Alone tells that the service's servers run live requests only.
-	Alone bool
+	// LiveOnly tells that the service's servers run live requests only.
+	LiveOnly bool
 }
 
 // Pick chooses a server by the service's policy and counts the request there.
@@ -213,7 +213,7 @@
 	candidates := make([]route.Candidate, 0, len(servers))
 	usable := make([]*Server, 0, len(servers))
 	for _, s := range servers {
-		if slices.Contains(q.Not, s.Name) || p.Fleet.MarkedLeaving(string(s.Name)) {
+		if slices.Contains(q.Exclude, s.Name) || p.Fleet.MarkedLeaving(string(s.Name)) {
 			continue
 		}
 		c, ok := s.candidate(q, now)
@@ -224,7 +224,7 @@
 		}
 	}
 	relateSpeeds(candidates)
-	request := route.Request{ID: q.ID, Zone: p.Zone, Work: meanWork(usable), ZoneLatency: p.Crossing, Live: q.Live, LiveOnly: q.Alone}
+	request := route.Request{ID: q.ID, Zone: p.Zone, Work: meanWork(usable), ZoneLatency: p.ZoneLatency, Live: q.Live, LiveOnly: q.LiveOnly}
 	choice := policy.Pick(request, candidates, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	if choice.Index < 0 {
 		return nil, "", choice.Reason
@@ -237,10 +237,10 @@
 	return server, runnerUp, choice.Reason
 }
 
-// Best returns the server, other than the given one, at which one more sequence
+// Fastest returns the server, other than the given one, at which one more sequence
 // is expected to get the highest rate of those that the query allows, and the
 // rate. It does not count a request there; see Take.
-func (p *Pool) Best(q Query, not *Server) (server *Server, best float64) {
+func (p *Pool) Fastest(q Query, not *Server) (server *Server, best float64) {
 	now := p.Clock.Mono()
 	servers := p.Servers(q.Service.Name)
 	for _, s := range servers {
@@ -256,15 +256,15 @@
 	return server, best
 }
 
-// Take counts a request at a server that Best returned; the caller must call
+// Acquire counts a request at a server that Best returned; the caller must call
 // Release on it.
-func (p *Pool) Take(server *Server, live bool) {
+func (p *Pool) Acquire(server *Server, live bool) {
 	server.acquire(live, p.Clock.Now())
 }
 
-// Carriers returns the servers that carry a trainer's weights: so many of the
+// TrainerServers returns the servers that carry a trainer's weights: so many of the
 // usable ones by rendezvous hashing, so that instances agree without asking.
-func (p *Pool) Carriers(service ident.Service, trainer ident.Trainer, count int) []*Server {
+func (p *Pool) TrainerServers(service ident.Service, trainer ident.Trainer, count int) []*Server {
 	now := p.Clock.Mono()
 	var usable []*Server
 	for _, s := range p.Servers(service) {
--- a/croftmoor/pool/pool_bench_test.go
+++ b/croftmoor/pool/pool_bench_test.go
@@ -30,7 +30,7 @@
 	p := &Pool{
 		Fleet: table, Reporter: noReports{}, Clock: clock.New(), Self: "a-1", Zone: "zone-1", Subset: subset,
 	}
-	p.Follow()
+	p.Refresh()
 	return p
 }
 
@@ -53,7 +53,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		p.followed = nil
-		p.Follow()
+		p.Refresh()
 	}
 }
 
--- a/croftmoor/pool/server.go
+++ b/croftmoor/pool/server.go
@@ -28,12 +28,12 @@
 	return s
 }
 
-// Paced tells whether the server says how long work takes there now: it shares its
+// ReportsSlowdown tells whether the server says how long work takes there now: it shares its
 // machine, so that what it can do is never known for long.
-func (s *Server) Paced() bool {
+func (s *Server) ReportsSlowdown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.report.Pace > 0
+	return s.report.Slowdown > 0
 }
 
 // OnRestart has do called once when the server is known to have started again: what it
@@ -77,8 +77,8 @@
 	s.ownThen = s.past.at(report.At, s.own)
 }
 
-// NoteLoad takes over the load that the server told with an answer.
-func (s *Server) NoteLoad(report Report, now clock.Millis) {
+// RecordLoad takes over the load that the server told with an answer.
+func (s *Server) RecordLoad(report Report, now clock.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	report.Versions, report.Cached = s.report.Versions, s.report.Cached
@@ -96,16 +96,16 @@
 	if s.leaving || weight <= 0 {
 		return route.Candidate{}, false
 	}
-	if q.Least > 0 && s.believedVersion(q.Trainer) < q.Least {
+	if q.MinVersion > 0 && s.believedVersion(q.Trainer) < q.MinVersion {
 		return route.Candidate{}, false
 	}
-	if q.Most > 0 && s.believedLoad() >= q.Most {
+	if q.MaxLoad > 0 && s.believedLoad() >= q.MaxLoad {
 		return route.Candidate{}, false
 	}
 	c := route.Candidate{
 		Name: s.Name, Zone: s.Zone, Own: s.own, OwnLive: s.ownLive, Slots: q.Service.Slots, Weight: weight,
 		Reported: s.report.Running + s.report.Waiting, OwnAtReport: s.ownThen,
-		ReportAge: now - s.received, HasReport: s.received > 0, Slowdown: s.report.Pace, Speed: s.speed,
+		ReportAge: now - s.received, HasReport: s.received > 0, Slowdown: s.report.Slowdown, Speed: s.speed,
 	}
 	if slices.Contains(s.report.Cached, q.Family) {
 		c.Cached = 1
@@ -152,15 +152,15 @@
 
 // Status is a server's state for operators.
 type Status struct {
-	Name     ident.BackendName
-	Service  ident.Service
-	Zone     ident.Zone
-	Address  ident.Address
-	Leaving  bool
-	Weight   float64
-	Own      int
-	Believed int
-	Report   Report
+	Name          ident.BackendName
+	Service       ident.Service
+	Zone          ident.Zone
+	Address       ident.Address
+	Leaving       bool
+	Weight        float64
+	Own           int
+	EstimatedLoad int
+	Report        Report
 }
 
 // Status returns the state at now.
@@ -170,14 +170,14 @@
 	defer s.mu.Unlock()
 	return Status{
 		Name: s.Name, Service: s.Service, Zone: s.Zone, Address: s.address, Leaving: s.leaving,
-		Weight: weight, Own: s.own, Believed: s.believedLoad(), Report: s.report,
+		Weight: weight, Own: s.own, EstimatedLoad: s.believedLoad(), Report: s.report,
 	}
 }
 
-// NoteVersion notes the version that a stream of the server named. Streams are
+// RecordVersion notes the version that a stream of the server named. Streams are
 // believed over load reports, which can be late or wrong. It reports whether the
 // load report says a newer version and this was not told within a second.
-func (s *Server) NoteVersion(trainer ident.Trainer, version ident.Version, now clock.Millis) (lies bool) {
+func (s *Server) RecordVersion(trainer ident.Trainer, version ident.Version, now clock.Millis) (lies bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.seen == nil {
@@ -195,9 +195,9 @@
 // speedBlend weighs a new observation of the speed against the mean so far.
 const speedBlend = 0.25
 
-// NoteSpeed notes that a sequence got so many tokens in a span. What it would
+// RecordSpeed notes that a sequence got so many tokens in a span. What it would
 // have got alone is inferred from the load, since batching shares the engine.
-func (s *Server) NoteSpeed(tokens ident.Tokens, span clock.Millis, slots int) {
+func (s *Server) RecordSpeed(tokens ident.Tokens, span clock.Millis, slots int) {
 	if span <= 0 || tokens <= 0 {
 		return
 	}
--- a/croftmoor/proxy/harm_test.go
+++ b/croftmoor/proxy/harm_test.go
@@ -112,7 +112,7 @@
 		server := p.Pool.Servers("plain")[0]
 		b.member.State = fleet.Leaving
 		p.Pool.Fleet.Set([]fleet.Member{b.member})
-		p.Pool.Follow()
+		p.Pool.Refresh()
 		p.noteEnd(t.Context(), &Request{}, &state{}, server, 0)
 		if len(g.ended) > 0 {
 			t.Errorf("told of %v, want nothing", g.ended)
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -192,7 +192,7 @@
 
 func (p *Proxy) pick(r Request, s *state) *pool.Server {
 	query := pool.Query{
-		ID: r.ID, Not: s.tried, Live: true, Alone: s.shared,
+		ID: r.ID, Exclude: s.tried, Live: true, LiveOnly: s.shared,
 		Service: conf.Service{Name: s.service, Policy: route.Balanced, Slots: p.slots(s.service)},
 	}
 	server, runnerUp, reason := p.Pool.Pick(query)
@@ -305,7 +305,7 @@
 
 func (p *Proxy) learn(server *pool.Server, v Verdict) {
 	if v.HasLoad {
-		server.NoteLoad(v.Load, p.Clock.Mono())
+		server.RecordLoad(v.Load, p.Clock.Mono())
 	}
 }
 
--- a/croftmoor/proxy/proxy_test.go
+++ b/croftmoor/proxy/proxy_test.go
@@ -59,7 +59,7 @@
 	}
 	table.Set(list)
 	p := &pool.Pool{Fleet: table, Clock: c, Self: "a"}
-	p.Follow()
+	p.Refresh()
 	return &Proxy{
 		Pool: p, Protocol: plainProtocol{}, Client: &httpc.Client{}, Clock: c,
 		Trail: &trail.Trail{Log: zerolog.Nop(), Clock: c}, Patience: clock.Second,
--- a/croftmoor/serve/serve.go
+++ b/croftmoor/serve/serve.go
@@ -252,7 +252,7 @@
 	decisions := &trail.Trail{Log: i.log, Clock: i.clock, SampleAbove: c.SampleAbove}
 	i.pool = &pool.Pool{
 		Fleet: i.fleet, Reporter: protocol, Clock: i.clock, Self: c.Instance, Zone: c.Zone,
-		Crossing: c.Crossing, Period: c.LoadPeriod, Subset: c.Subset,
+		ZoneLatency: c.Crossing, PollInterval: c.LoadPeriod, Subset: c.Subset,
 	}
 	i.guard = &guard.Guard{Self: i.self, Clock: i.clock, Log: i.log, Reader: i.tail, Writer: &logWriter{log: i.tail, clock: i.clock}, Peers: i.otherPeers}
 	i.guard.Setup()
--- a/croftmoor/serve/shared.go
+++ b/croftmoor/serve/shared.go
@@ -65,7 +65,7 @@
 
 // tellKeeper passes a sighting on to the instance that orders the service's
 // weights: it can't know otherwise that an engine's report is wrong.
-func (i *Instance) tellKeeper(s pool.Sighting) {
+func (i *Instance) tellKeeper(s pool.ObservedVersion) {
 	leader := i.home.PrimaryOf(keeper.Role(s.Service))
 	if leader == i.self || leader == "" {
 		return
--- a/croftmoor/serve/status.go
+++ b/croftmoor/serve/status.go
@@ -117,7 +117,7 @@
 		s := server.Status(i.clock.Mono())
 		w := backendWire{
 			Name: string(s.Name), Service: string(s.Service), Zone: string(s.Zone), State: "Live",
-			InFlight: s.Own, BelievedLoad: s.Believed, ReportedLoad: s.Report.Running + s.Report.Waiting,
+			InFlight: s.Own, BelievedLoad: s.EstimatedLoad, ReportedLoad: s.Report.Running + s.Report.Waiting,
 			ReportAtMillis: int64(s.Report.At),
 		}
 		switch {
