--- a/croftmoor/pool/follow.go
+++ b/croftmoor/pool/follow.go
@@ -10,17 +10,17 @@
 // Refresh takes over the fleet's view, if it is a new one.
 func (p *Pool) Refresh() {
 	view := p.Fleet.View()
-	if view == p.followed {
+	if view == p.lastView {
 		return
 	}
-	p.followed = view
+	p.lastView = view
 	for service, members := range view.Backends {
-		p.update(service, p.subset(members))
+		p.setMembers(service, p.subset(members))
 	}
 	p.services.Range(func(key, _ any) bool {
 		service, _ := key.(ident.Service)
 		if _, listed := view.Backends[service]; !listed {
-			p.update(service, nil)
+			p.setMembers(service, nil)
 		}
 		return true
 	})
@@ -48,8 +48,8 @@
 	return ranked[:p.Subset]
 }
 
-func (p *Pool) update(service ident.Service, members []fleet.Member) {
-	s := p.set(service)
+func (p *Pool) setMembers(service ident.Service, members []fleet.Member) {
+	s := p.serverSet(service)
 	old := *s.list.Load()
 	// By name: a search for each of 3,000 servers took 10 of the 18 ms of one change.
 	known := make(map[ident.BackendName]*Server, len(old))
@@ -62,28 +62,28 @@
 		if server == nil {
 			server = newServer(ident.BackendName(m.Name), service, m.Zone)
 		}
-		server.place(m)
+		server.setMember(m)
 		fresh = append(fresh, server)
 	}
 	s.list.Store(&fresh)
-	p.replaceStarts(old, fresh)
+	p.endRestarted(old, fresh)
 }
 
-// replaceStarts ends what runs at servers that have started again: it is lost there, and
+// endRestarted ends what runs at servers that have started again: it is lost there, and
 // its silence would be waited for.
-func (p *Pool) replaceStarts(old, fresh []*Server) {
-	now := make(map[string]*Server, len(fresh))
+func (p *Pool) endRestarted(old, fresh []*Server) {
+	current := make(map[string]*Server, len(fresh))
 	for _, server := range fresh {
-		now[server.Name.ListName()] = server
+		current[server.Name.ListName()] = server
 	}
 	for _, server := range old {
-		next := now[server.Name.ListName()]
+		next := current[server.Name.ListName()]
 		if next == nil || next == server {
 			continue
 		}
 		if p.Restarted != nil {
 			p.Restarted(server.Address())
 		}
-		server.end()
+		server.endLifetime()
 	}
 }
--- a/croftmoor/pool/past.go
+++ b/croftmoor/pool/past.go
@@ -18,12 +18,12 @@
 	own int
 }
 
-// historyKept bounds the points.
-const historyKept = 512
+// maxHistory bounds the points.
+const maxHistory = 512
 
-func (h *history) note(at clock.Millis, own int) {
-	if len(h.points) >= historyKept {
-		h.points = slices.Delete(h.points, 0, historyKept/2)
+func (h *history) record(at clock.Millis, own int) {
+	if len(h.points) >= maxHistory {
+		h.points = slices.Delete(h.points, 0, maxHistory/2)
 	}
 	h.points = append(h.points, point{at: at, own: own})
 }
--- a/croftmoor/pool/pool.go
+++ b/croftmoor/pool/pool.go
@@ -47,23 +47,23 @@
 
 	Breaker eject.Breaker
 
-	mu       sync.Mutex
-	address  ident.Address
-	leaving  bool
-	slots    int
-	own      int
-	ownLive  int
-	ownThen  int
-	past     history
-	report   Report
-	received clock.Millis
-	work     float64
+	mu             sync.Mutex
+	address        ident.Address
+	leaving        bool
+	slots          int
+	own            int
+	ownLive        int
+	ownAtReport    int
+	ownHistory     history
+	report         Report
+	reportReceived clock.Millis
+	meanLatency    float64
 	// speed is the tokens a second that one sequence would get alone.
-	speed float64
-	seen  map[ident.Trainer]sighting
-	// over ends when the server has started again, under another name.
-	over context.Context
-	end  context.CancelFunc
+	speed    float64
+	observed map[ident.Trainer]observedVersion
+	// lifetime ends when the server has started again, under another name.
+	lifetime    context.Context
+	endLifetime context.CancelFunc
 }
 
 // Pool holds the servers of all services. Set the exported fields before Run.
@@ -89,19 +89,19 @@
 
 	services sync.Map
 	policies sync.Map
-	// followed is the view that was taken over last; only Run uses it.
-	followed *fleet.View
+	// lastView is the view that was taken over last; only Run uses it.
+	lastView *fleet.View
 }
 
 const (
-	loadTimeout  = 1 * clock.Second
-	workBlend    = 0.1
-	firstWork    = 50
-	pollersAtOne = 32
+	loadTimeout        = 1 * clock.Second
+	latencyWeight      = 0.1
+	defaultLatency     = 50
+	maxConcurrentPolls = 32
 )
 
-// set is the servers of one service.
-type set struct {
+// serverSet is the servers of one service.
+type serverSet struct {
 	list atomic.Pointer[[]*Server]
 }
 
@@ -127,28 +127,28 @@
 	return nil
 }
 
-func (p *Pool) set(service ident.Service) *set {
-	made := &set{}
-	made.list.Store(&[]*Server{})
-	actual, _ := p.services.LoadOrStore(service, made)
-	s, _ := actual.(*set)
+func (p *Pool) serverSet(service ident.Service) *serverSet {
+	fresh := &serverSet{}
+	fresh.list.Store(&[]*Server{})
+	actual, _ := p.services.LoadOrStore(service, fresh)
+	s, _ := actual.(*serverSet)
 	return s
 }
 
 // Servers returns the servers of a service that this instance uses.
 func (p *Pool) Servers(service ident.Service) []*Server {
-	return *p.set(service).list.Load()
+	return *p.serverSet(service).list.Load()
 }
 
 func (p *Pool) poll(ctx context.Context) {
 	var group conc.WaitGroup
-	limit := make(chan struct{}, pollersAtOne)
+	limit := make(chan struct{}, maxConcurrentPolls)
 	p.services.Range(func(_, value any) bool {
-		s, _ := value.(*set)
+		s, _ := value.(*serverSet)
 		for _, server := range *s.list.Load() {
 			limit <- struct{}{}
 			group.Go(func() {
-				p.pollOne(ctx, server)
+				p.pollServer(ctx, server)
 				<-limit
 			})
 		}
@@ -157,7 +157,7 @@
 	group.Wait()
 }
 
-func (p *Pool) pollOne(ctx context.Context, server *Server) {
+func (p *Pool) pollServer(ctx context.Context, server *Server) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout.Duration())
 	defer cancel()
 	report, err := p.Reporter.Load(ctx, server.Address())
@@ -223,8 +223,8 @@
 			usable = append(usable, s)
 		}
 	}
-	relateSpeeds(candidates)
-	request := route.Request{ID: q.ID, Zone: p.Zone, Work: meanWork(usable), ZoneLatency: p.ZoneLatency, Live: q.Live, LiveOnly: q.LiveOnly}
+	normalizeSpeeds(candidates)
+	request := route.Request{ID: q.ID, Zone: p.Zone, Work: meanLatency(usable), ZoneLatency: p.ZoneLatency, Live: q.Live, LiveOnly: q.LiveOnly}
 	choice := policy.Pick(request, candidates, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	if choice.Index < 0 {
 		return nil, "", choice.Reason
@@ -240,11 +240,11 @@
 // Fastest returns the server, other than the given one, at which one more sequence
 // is expected to get the highest rate of those that the query allows, and the
 // rate. It does not count a request there; see Take.
-func (p *Pool) Fastest(q Query, not *Server) (server *Server, best float64) {
+func (p *Pool) Fastest(q Query, exclude *Server) (server *Server, best float64) {
 	now := p.Clock.Mono()
 	servers := p.Servers(q.Service.Name)
 	for _, s := range servers {
-		if s == not || p.Fleet.MarkedLeaving(string(s.Name)) {
+		if s == exclude || p.Fleet.MarkedLeaving(string(s.Name)) {
 			continue
 		}
 		if _, ok := s.candidate(q, now); ok {
@@ -272,12 +272,12 @@
 			usable = append(usable, s)
 		}
 	}
-	rank(usable, string(trainer))
+	sortByHash(usable, string(trainer))
 	return usable[:min(count, len(usable))]
 }
 
-// rank orders servers by rendezvous hashing for a key.
-func rank(servers []*Server, key string) {
+// sortByHash orders servers by rendezvous hashing for a key.
+func sortByHash(servers []*Server, key string) {
 	slices.SortFunc(servers, func(a, b *Server) int {
 		return cmp.Compare(ident.Hash(key, string(b.Name)), ident.Hash(key, string(a.Name)))
 	})
@@ -297,8 +297,8 @@
 	return policy
 }
 
-// relateSpeeds divides the known speeds by their mean.
-func relateSpeeds(candidates []route.Candidate) {
+// normalizeSpeeds divides the known speeds by their mean.
+func normalizeSpeeds(candidates []route.Candidate) {
 	sum, n := 0.0, 0.0
 	for _, c := range candidates {
 		if c.Speed > 0 {
@@ -313,18 +313,18 @@
 	}
 }
 
-func meanWork(servers []*Server) clock.Millis {
+func meanLatency(servers []*Server) clock.Millis {
 	sum, n := 0.0, 0.0
 	for _, s := range servers {
 		s.mu.Lock()
-		if s.work > 0 {
-			sum += s.work
+		if s.meanLatency > 0 {
+			sum += s.meanLatency
 			n++
 		}
 		s.mu.Unlock()
 	}
 	if n == 0 {
-		return firstWork
+		return defaultLatency
 	}
 	return clock.Millis(sum / n)
 }
--- a/croftmoor/pool/pool_bench_test.go
+++ b/croftmoor/pool/pool_bench_test.go
@@ -52,7 +52,7 @@
 	p := poolOf(4000, 32)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.followed = nil
+		p.lastView = nil
 		p.Refresh()
 	}
 }
@@ -79,11 +79,11 @@
 	})
 	t.Run("others' load is taken at the report's moment", func(t *testing.T) {
 		s := &Server{}
-		s.past.note(100, 4)
-		s.past.note(200, 1)
+		s.ownHistory.record(100, 4)
+		s.ownHistory.record(200, 1)
 		s.own = 1
 		s.setReport(Report{Running: 4, At: 150}, 1)
-		if got := s.believedLoad(); got != 1 {
+		if got := s.estimatedLoad(); got != 1 {
 			t.Fatalf("believed load %d, want only the own request", got)
 		}
 	})
--- a/croftmoor/pool/server.go
+++ b/croftmoor/pool/server.go
@@ -10,21 +10,21 @@
 	"croftmoor.dev/kernel/route"
 )
 
-// sighting is a version that a stream named.
-type sighting struct {
+// observedVersion is a version that a stream named.
+type observedVersion struct {
 	version ident.Version
 	at      clock.Millis
-	// told is when the mismatch with the load report was last told.
-	told clock.Millis
+	// mismatchAt is when the mismatch with the load report was last mismatchAt.
+	mismatchAt clock.Millis
 }
 
-// sightingTerm is how much older than the newest report a sighting may be and
+// observedGrace is how much older than the newest report a sighting may be and
 // still count for more.
-const sightingTerm = 1 * clock.Second
+const observedGrace = 1 * clock.Second
 
 func newServer(name ident.BackendName, service ident.Service, zone ident.Zone) *Server {
 	s := &Server{Name: name, Service: service, Zone: zone}
-	s.over, s.end = context.WithCancel(context.Background())
+	s.lifetime, s.endLifetime = context.WithCancel(context.Background())
 	return s
 }
 
@@ -38,7 +38,7 @@
 
 // OnRestart has do called once when the server is known to have started again: what it
 // ran is lost then. Stop takes that back.
-func (s *Server) OnRestart(do func()) (stop func() bool) { return context.AfterFunc(s.over, do) }
+func (s *Server) OnRestart(do func()) (stop func() bool) { return context.AfterFunc(s.lifetime, do) }
 
 // Address returns where the server is.
 func (s *Server) Address() ident.Address {
@@ -61,7 +61,7 @@
 	return s.leaving
 }
 
-func (s *Server) place(m fleet.Member) {
+func (s *Server) setMember(m fleet.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.address = m.Address
@@ -73,8 +73,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report = report
-	s.received = now
-	s.ownThen = s.past.at(report.At, s.own)
+	s.reportReceived = now
+	s.ownAtReport = s.ownHistory.at(report.At, s.own)
 }
 
 // RecordLoad takes over the load that the server told with an answer.
@@ -83,8 +83,8 @@
 	defer s.mu.Unlock()
 	report.Versions, report.Cached = s.report.Versions, s.report.Cached
 	s.report = report
-	s.received = now
-	s.ownThen = s.own
+	s.reportReceived = now
+	s.ownAtReport = s.own
 }
 
 // candidate describes the server to a policy; it reports false if the server
@@ -96,16 +96,16 @@
 	if s.leaving || weight <= 0 {
 		return route.Candidate{}, false
 	}
-	if q.MinVersion > 0 && s.believedVersion(q.Trainer) < q.MinVersion {
+	if q.MinVersion > 0 && s.estimatedVersion(q.Trainer) < q.MinVersion {
 		return route.Candidate{}, false
 	}
-	if q.MaxLoad > 0 && s.believedLoad() >= q.MaxLoad {
+	if q.MaxLoad > 0 && s.estimatedLoad() >= q.MaxLoad {
 		return route.Candidate{}, false
 	}
 	c := route.Candidate{
 		Name: s.Name, Zone: s.Zone, Own: s.own, OwnLive: s.ownLive, Slots: q.Service.Slots, Weight: weight,
-		Reported: s.report.Running + s.report.Waiting, OwnAtReport: s.ownThen,
-		ReportAge: now - s.received, HasReport: s.received > 0, Slowdown: s.report.Slowdown, Speed: s.speed,
+		Reported: s.report.Running + s.report.Waiting, OwnAtReport: s.ownAtReport,
+		ReportAge: now - s.reportReceived, HasReport: s.reportReceived > 0, Slowdown: s.report.Slowdown, Speed: s.speed,
 	}
 	if slices.Contains(s.report.Cached, q.Family) {
 		c.Cached = 1
@@ -113,9 +113,9 @@
 	return c, true
 }
 
-// believedLoad is the own load and what others had at the last report; mu is held.
-func (s *Server) believedLoad() int {
-	return s.own + max(s.report.Running+s.report.Waiting-s.ownThen, 0)
+// estimatedLoad is the own load and what others had at the last report; mu is held.
+func (s *Server) estimatedLoad() int {
+	return s.own + max(s.report.Running+s.report.Waiting-s.ownAtReport, 0)
 }
 
 func (s *Server) acquire(live bool, wall clock.Millis) {
@@ -125,24 +125,24 @@
 	if live {
 		s.ownLive++
 	}
-	s.past.note(wall, s.own)
+	s.ownHistory.record(wall, s.own)
 }
 
 // Release ends a request at the server. Live is as it was in the query, and
 // took is the request's time if it succeeded.
-func (s *Server) Release(c *clock.Clock, live bool, took clock.Millis, ok bool) {
+func (s *Server) Release(c *clock.Clock, live bool, latency clock.Millis, ok bool) {
 	now := c.Mono()
 	s.mu.Lock()
 	s.own--
 	if live {
 		s.ownLive--
 	}
-	s.past.note(c.Now(), s.own)
+	s.ownHistory.record(c.Now(), s.own)
 	if ok {
-		if s.work == 0 {
-			s.work = float64(took)
+		if s.meanLatency == 0 {
+			s.meanLatency = float64(latency)
 		}
-		s.work = s.work*(1-workBlend) + float64(took)*workBlend
+		s.meanLatency = s.meanLatency*(1-latencyWeight) + float64(latency)*latencyWeight
 	}
 	s.mu.Unlock()
 	if ok {
@@ -170,30 +170,30 @@
 	defer s.mu.Unlock()
 	return Status{
 		Name: s.Name, Service: s.Service, Zone: s.Zone, Address: s.address, Leaving: s.leaving,
-		Weight: weight, Own: s.own, EstimatedLoad: s.believedLoad(), Report: s.report,
+		Weight: weight, Own: s.own, EstimatedLoad: s.estimatedLoad(), Report: s.report,
 	}
 }
 
 // RecordVersion notes the version that a stream of the server named. Streams are
 // believed over load reports, which can be late or wrong. It reports whether the
 // load report says a newer version and this was not told within a second.
-func (s *Server) RecordVersion(trainer ident.Trainer, version ident.Version, now clock.Millis) (lies bool) {
+func (s *Server) RecordVersion(trainer ident.Trainer, version ident.Version, now clock.Millis) (mismatch bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen == nil {
-		s.seen = map[ident.Trainer]sighting{}
+	if s.observed == nil {
+		s.observed = map[ident.Trainer]observedVersion{}
 	}
-	told := s.seen[trainer].told
-	lies = s.report.Versions[trainer] > version && now-told >= clock.Second
-	if lies {
-		told = now
+	mismatchAt := s.observed[trainer].mismatchAt
+	mismatch = s.report.Versions[trainer] > version && now-mismatchAt >= clock.Second
+	if mismatch {
+		mismatchAt = now
 	}
-	s.seen[trainer] = sighting{version: version, at: now, told: told}
-	return lies
+	s.observed[trainer] = observedVersion{version: version, at: now, mismatchAt: mismatchAt}
+	return mismatch
 }
 
-// speedBlend weighs a new observation of the speed against the mean so far.
-const speedBlend = 0.25
+// speedWeight weighs a new observation of the speed against the mean so far.
+const speedWeight = 0.25
 
 // RecordSpeed notes that a sequence got so many tokens in a span. What it would
 // have got alone is inferred from the load, since batching shares the engine.
@@ -203,12 +203,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := 1 + float64(s.believedLoad())/float64(max(slots, 1))
+	share := 1 + float64(s.estimatedLoad())/float64(max(slots, 1))
 	alone := float64(tokens) / span.Duration().Seconds() * share
 	if s.speed == 0 {
 		s.speed = alone
 	}
-	s.speed = s.speed*(1-speedBlend) + alone*speedBlend
+	s.speed = s.speed*(1-speedWeight) + alone*speedWeight
 }
 
 // Rate returns the tokens a second that one more sequence is expected to get;
@@ -216,7 +216,7 @@
 func (s *Server) Rate(slots int) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.speed / (1 + float64(s.believedLoad()+1)/float64(max(slots, 1)))
+	return s.speed / (1 + float64(s.estimatedLoad()+1)/float64(max(slots, 1)))
 }
 
 // Version returns the version of a trainer's weights that the server is
@@ -224,14 +224,14 @@
 func (s *Server) Version(trainer ident.Trainer) ident.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.believedVersion(trainer)
+	return s.estimatedVersion(trainer)
 }
 
-// believedVersion prefers what a stream showed to an older report; mu is held.
-func (s *Server) believedVersion(trainer ident.Trainer) ident.Version {
-	seen, ok := s.seen[trainer]
-	if ok && seen.at >= s.received-sightingTerm {
-		return seen.version
+// estimatedVersion prefers what a stream showed to an older report; mu is held.
+func (s *Server) estimatedVersion(trainer ident.Trainer) ident.Version {
+	last, ok := s.observed[trainer]
+	if ok && last.at >= s.reportReceived-observedGrace {
+		return last.version
 	}
 	return s.report.Versions[trainer]
 }
