--- a/croftmoor/pool/again_test.go
+++ b/croftmoor/pool/again_test.go
@@ -29,20 +29,20 @@
 	first.OnRestart(func() { close(ended) })
 	t.Run("the same start keeps what is known of it", func(t *testing.T) {
 		if list(1) != first || first.Usable(c.Mono()) {
-			t.Error("the list told nothing new, and the server is another one or usable")
+			t.Error("the list is unchanged, but the server was replaced or is usable")
 		}
 	})
-	// Its clock has gone back, so that the new start seems to be the earlier one.
+	// The server's clock was set back: the new start has the earlier time.
 	second := list(0x10)
 	t.Run("nothing that was known of the earlier start counts", func(t *testing.T) {
 		if !second.Usable(c.Mono()) || second.Status(c.Mono()).EstimatedLoad != 0 {
-			t.Error("the new start is kept out, or has the load of the old one")
+			t.Error("the restarted server is not usable, or has the load of the earlier start")
 		}
 	})
 	t.Run("what runs at the earlier start and connections to it are given up", func(t *testing.T) {
 		<-ended
 		if given != "1.2.3.4:5" {
-			t.Errorf("connections to %q were given up", given)
+			t.Errorf("Restarted got address %q, want 1.2.3.4:5", given)
 		}
 	})
 }
--- a/croftmoor/pool/follow.go
+++ b/croftmoor/pool/follow.go
@@ -7,7 +7,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Refresh takes over the fleet's view, if it is a new one.
+// Refresh applies the fleet's current view to the server lists if it has changed.
 func (p *Pool) Refresh() {
 	view := p.Fleet.View()
 	if view == p.lastView {
@@ -26,8 +26,8 @@
 	})
 }
 
-// subset returns the members that this instance uses: those of its own zone
-// first, by rendezvous hashing, so that instances spread over the servers.
+// subset returns the members that this instance uses: those of its own availability zone
+// first, then by rendezvous hashing, which spreads the instances over the servers.
 func (p *Pool) subset(members []fleet.Member) []fleet.Member {
 	if p.Subset <= 0 || len(members) <= p.Subset {
 		return members
@@ -48,10 +48,11 @@
 	return ranked[:p.Subset]
 }
 
+// setMembers replaces the server list of a service and keeps the state of known servers.
 func (p *Pool) setMembers(service ident.Service, members []fleet.Member) {
 	s := p.serverSet(service)
 	old := *s.list.Load()
-	// By name: a search for each of 3,000 servers took 10 of the 18 ms of one change.
+	// Indexed by name because a linear search per member is slow for large services.
 	known := make(map[ident.BackendName]*Server, len(old))
 	for _, server := range old {
 		known[server.Name] = server
@@ -69,8 +70,8 @@
 	p.endRestarted(old, fresh)
 }
 
-// endRestarted ends what runs at servers that have started again: it is lost there, and
-// its silence would be waited for.
+// endRestarted ends the lifetime of servers that have restarted. Their requests are lost,
+// and callers would otherwise wait for answers until a timeout.
 func (p *Pool) endRestarted(old, fresh []*Server) {
 	current := make(map[string]*Server, len(fresh))
 	for _, server := range fresh {
--- a/croftmoor/pool/past.go
+++ b/croftmoor/pool/past.go
@@ -6,9 +6,9 @@
 	"croftmoor.dev/kernel/clock"
 )
 
-// history is how many requests of this instance ran at a server, by wall time.
-// A load report tells of a moment in the past; to know what others had there,
-// the own requests of that moment must be subtracted, not today's.
+// history is the number of this instance's in-flight requests at a server over time. A
+// load report describes an earlier moment, so other instances' load is the report minus
+// this instance's requests at that moment. Times are wall time.
 type history struct {
 	points []point
 }
@@ -18,7 +18,7 @@
 	own int
 }
 
-// maxHistory bounds the points.
+// maxHistory is the maximum number of points; at the maximum, the older half is dropped.
 const maxHistory = 512
 
 func (h *history) record(at clock.Millis, own int) {
@@ -28,8 +28,8 @@
 	h.points = append(h.points, point{at: at, own: own})
 }
 
-// at returns the own requests at a moment; without a point before it, the
-// count now is the best guess.
+// at returns the number of own requests at a time, or the current number if no point is
+// as old as that.
 func (h *history) at(when clock.Millis, now int) int {
 	i, _ := slices.BinarySearchFunc(h.points, when+1, func(p point, t clock.Millis) int { return int(p.at - t) })
 	if i == 0 {
--- a/croftmoor/pool/pool.go
+++ b/croftmoor/pool/pool.go
@@ -1,6 +1,5 @@
-// Package pool is the backend servers as this instance sees them: their own
-// in-flight requests, their reported load, their failures, and the choice of
-// one for a request.
+// Package pool tracks the backend servers that this instance uses, with their in-flight
+// requests, reported load and failures, and picks a server for each request.
 package pool
 
 import (
@@ -21,25 +20,29 @@
 	"croftmoor.dev/kernel/route"
 )
 
-// Report is what a backend server said of itself.
+// Report is a load report of a backend server.
 type Report struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Slowdown is how many times as long as usual work takes now; 0 if the server does not say.
+	// Slowdown is the factor by which work currently takes longer than usual; 0 if the
+	// server does not report it.
 	Slowdown float64
 	Draining bool
 	Versions map[ident.Trainer]ident.Version
-	Cached   []string
-	At       clock.Millis
+	// Cached lists the request families whose prefix the server has cached.
+	Cached []string
+	// At is when the report was made, in wall time.
+	At clock.Millis
 }
 
-// Reporter asks a backend server for its load.
+// Reporter fetches the load report of a backend server.
 type Reporter interface {
 	Load(ctx context.Context, address ident.Address) (Report, error)
 }
 
-// Server is one backend server. Its state is guarded by mu.
+// Server is a backend server. mu guards the fields below it, except for lifetime and
+// endLifetime, which do not change.
 type Server struct {
 	Name    ident.BackendName
 	Service ident.Service
@@ -47,65 +50,74 @@
 
 	Breaker eject.Breaker
 
-	mu             sync.Mutex
-	address        ident.Address
-	leaving        bool
-	slots          int
-	own            int
-	ownLive        int
-	ownAtReport    int
-	ownHistory     history
-	report         Report
+	mu      sync.Mutex
+	address ident.Address
+	leaving bool
+	slots   int
+	// own is the number of this instance's in-flight requests at the server, ownLive the
+	// live ones of them, ownAtReport the number at the time of report.
+	own         int
+	ownLive     int
+	ownAtReport int
+	ownHistory  history
+	report      Report
+	// reportReceived is when report was received, by the monotonic clock; 0 if never.
 	reportReceived clock.Millis
-	meanLatency    float64
-	// speed is the tokens a second that one sequence would get alone.
+	// meanLatency is a moving average in milliseconds; 0 if unknown.
+	meanLatency float64
+	// speed is the estimated rate of a sequence that runs alone, in tokens per second.
 	speed    float64
 	observed map[ident.Trainer]observedVersion
-	// lifetime ends when the server has started again, under another name.
+	// lifetime is cancelled when the server has restarted, under another name.
 	lifetime    context.Context
 	endLifetime context.CancelFunc
 }
 
-// Pool holds the servers of all services. Set the exported fields before Run.
-// The servers of each service are in a list that is replaced as a whole.
+// Pool holds the servers of all services. Set the exported fields before Run. Each service
+// has a list of servers that is never modified, only replaced atomically.
 type Pool struct {
 	Fleet *fleet.Table
-	// Reporter may be nil where servers tell their load in their answers.
+	// Reporter may be nil if servers report their load in their answers.
 	Reporter Reporter
 	Clock    *clock.Clock
 	Self     string
 	Zone     ident.Zone
 	// ZoneLatency is the one-way latency to another availability zone.
 	ZoneLatency clock.Millis
-	// PollInterval is the pause between two load reports of a server.
+	// PollInterval is the pause between two rounds of load reports.
 	PollInterval clock.Millis
-	// Subset is how many servers of a service this instance uses.
+	// Subset is the maximum number of servers per service that this instance uses; 0 means
+	// all.
 	Subset int
-	// Warm tells whether a connection to an address rests; it may be nil.
+	// Warm reports whether there is an idle connection to an address; it may be nil.
 	Warm func(ident.Address) bool
-	// Restarted is called with the address of a server that has started again; it may be
+	// Restarted is called with the old address of a server that has restarted; it may be
 	// nil.
 	Restarted func(ident.Address)
 
+	// services maps ident.Service to *serverSet, policies a policy's name to route.Policy.
 	services sync.Map
 	policies sync.Map
-	// lastView is the view that was taken over last; only Run uses it.
+	// lastView is the last view that Refresh applied. It is not guarded: Refresh must not be
+	// called concurrently.
 	lastView *fleet.View
 }
 
 const (
-	loadTimeout        = 1 * clock.Second
-	latencyWeight      = 0.1
+	loadTimeout = 1 * clock.Second
+	// latencyWeight is the weight of a new observation in the moving average of the latency.
+	latencyWeight = 0.1
+	// defaultLatency is the assumed latency, in milliseconds, before any observation.
 	defaultLatency     = 50
 	maxConcurrentPolls = 32
 )
 
-// serverSet is the servers of one service.
+// serverSet holds the servers of a service.
 type serverSet struct {
 	list atomic.Pointer[[]*Server]
 }
 
-// Run follows the fleet and polls loads until ctx ends.
+// Run applies fleet changes and polls load reports until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	for {
 		p.Refresh()
@@ -170,7 +182,8 @@
 	}
 }
 
-// ObservedVersion is a version that a stream named, against the load report.
+// ObservedVersion is a weights version that a server reported in a stream and that its load
+// report contradicts.
 type ObservedVersion struct {
 	Service ident.Service
 	Server  ident.BackendName
@@ -178,34 +191,36 @@
 	Version ident.Version
 }
 
-// Note takes over another instance's sighting.
+// Note records a version that another instance observed.
 func (p *Pool) Note(s ObservedVersion) {
 	if server := find(p.Servers(s.Service), s.Server); server != nil {
 		server.RecordVersion(s.Trainer, s.Version, p.Clock.Mono())
 	}
 }
 
-// Query is a request that needs a server.
+// Query describes a request that needs a server.
 type Query struct {
 	ID      ident.RequestID
 	Service conf.Service
-	Family  string
-	// Exclude lists servers that were tried.
+	// Family is matched against the families that a server reports as cached.
+	Family string
+	// Exclude lists servers that must not be picked.
 	Exclude []ident.BackendName
-	// Trainer and Least ask for servers that run at least a version of a
-	// trainer's weights, as far as known.
+	// MinVersion excludes servers whose estimated version of Trainer's weights is lower; 0
+	// is no limit.
 	Trainer    ident.Trainer
 	MinVersion ident.Version
-	// MaxLoad leaves out servers whose load is believed to reach it; 0 is no limit.
+	// MaxLoad excludes servers whose estimated load is at least this; 0 is no limit.
 	MaxLoad int
-	// Live tells a live request from a rollout.
+	// Live is true for a live request, false for a rollout.
 	Live bool
-	// LiveOnly tells that the service's servers run live requests only.
+	// LiveOnly is true if the service's servers run live requests only.
 	LiveOnly bool
 }
 
-// Pick chooses a server by the service's policy and counts the request there.
-// The caller must call Release on it. It returns nil if there is none.
+// Pick chooses a server by the service's policy and counts the request there. The caller
+// must call Release on the server. It returns a nil server if none is usable. runnerUp and
+// reason are for the decision log.
 func (p *Pool) Pick(q Query) (server *Server, runnerUp ident.BackendName, reason string) {
 	policy := p.policy(q.Service.Policy)
 	servers := p.Servers(q.Service.Name)
@@ -237,9 +252,9 @@
 	return server, runnerUp, choice.Reason
 }
 
-// Fastest returns the server, other than the given one, at which one more sequence
-// is expected to get the highest rate of those that the query allows, and the
-// rate. It does not count a request there; see Take.
+// Fastest returns the server with the highest expected rate for one more sequence, and the
+// rate in tokens per second. Only servers that q allows are considered, except that
+// q.Exclude is ignored in favour of exclude. The request is not counted there; see Acquire.
 func (p *Pool) Fastest(q Query, exclude *Server) (server *Server, best float64) {
 	now := p.Clock.Mono()
 	servers := p.Servers(q.Service.Name)
@@ -256,14 +271,14 @@
 	return server, best
 }
 
-// Acquire counts a request at a server that Best returned; the caller must call
-// Release on it.
+// Acquire counts a request at a server that Fastest returned. The caller must call Release
+// on the server.
 func (p *Pool) Acquire(server *Server, live bool) {
 	server.acquire(live, p.Clock.Now())
 }
 
-// TrainerServers returns the servers that carry a trainer's weights: so many of the
-// usable ones by rendezvous hashing, so that instances agree without asking.
+// TrainerServers returns the servers that hold a trainer's weights: count of the usable
+// ones by rendezvous hashing, which lets instances agree without communication.
 func (p *Pool) TrainerServers(service ident.Service, trainer ident.Trainer, count int) []*Server {
 	now := p.Clock.Mono()
 	var usable []*Server
@@ -276,7 +291,7 @@
 	return usable[:min(count, len(usable))]
 }
 
-// sortByHash orders servers by rendezvous hashing for a key.
+// sortByHash sorts servers by rendezvous hash for a key, highest first.
 func sortByHash(servers []*Server, key string) {
 	slices.SortFunc(servers, func(a, b *Server) int {
 		return cmp.Compare(ident.Hash(key, string(b.Name)), ident.Hash(key, string(a.Name)))
@@ -297,7 +312,7 @@
 	return policy
 }
 
-// normalizeSpeeds divides the known speeds by their mean.
+// normalizeSpeeds divides the known speeds by their mean; unknown ones stay 0.
 func normalizeSpeeds(candidates []route.Candidate) {
 	sum, n := 0.0, 0.0
 	for _, c := range candidates {
@@ -313,6 +328,7 @@
 	}
 }
 
+// meanLatency returns the mean request latency over the servers that have one.
 func meanLatency(servers []*Server) clock.Millis {
 	sum, n := 0.0, 0.0
 	for _, s := range servers {
--- a/croftmoor/pool/pool_bench_test.go
+++ b/croftmoor/pool/pool_bench_test.go
@@ -16,7 +16,7 @@
 
 func (noReports) Load(context.Context, ident.Address) (Report, error) { return Report{}, nil }
 
-// poolOf makes a pool that uses some of many listed engines.
+// poolOf returns a pool that uses subset of the listed engines.
 func poolOf(listed, subset int) *Pool {
 	table := &fleet.Table{Clock: clock.New()}
 	members := make([]fleet.Member, 0, listed)
@@ -70,7 +70,7 @@
 		assertUsed(t, p, 32)
 		for _, s := range p.Servers("model") {
 			if s.Zone != "zone-1" {
-				t.Fatalf("a server of %s although its own zone has enough", s.Zone)
+				t.Fatalf("got a server of %s, though zone-1 has enough", s.Zone)
 			}
 		}
 	})
@@ -84,7 +84,7 @@
 		s.own = 1
 		s.setReport(Report{Running: 4, At: 150}, 1)
 		if got := s.estimatedLoad(); got != 1 {
-			t.Fatalf("believed load %d, want only the own request", got)
+			t.Fatalf("estimated load %d, want 1", got)
 		}
 	})
 }
--- a/croftmoor/pool/server.go
+++ b/croftmoor/pool/server.go
@@ -10,16 +10,16 @@
 	"croftmoor.dev/kernel/route"
 )
 
-// observedVersion is a version that a stream named.
+// observedVersion is the last weights version that a server reported in a stream.
 type observedVersion struct {
 	version ident.Version
 	at      clock.Millis
-	// mismatchAt is when the mismatch with the load report was last mismatchAt.
+	// mismatchAt is when RecordVersion last returned true.
 	mismatchAt clock.Millis
 }
 
-// observedGrace is how much older than the newest report a sighting may be and
-// still count for more.
+// observedGrace is how much older than the last load report an observed version may be and
+// still take precedence over it.
 const observedGrace = 1 * clock.Second
 
 func newServer(name ident.BackendName, service ident.Service, zone ident.Zone) *Server {
@@ -28,33 +28,33 @@
 	return s
 }
 
-// ReportsSlowdown tells whether the server says how long work takes there now: it shares its
-// machine, so that what it can do is never known for long.
+// ReportsSlowdown reports whether the server reports its current slowdown. Such a server
+// shares its machine, so estimates of its capacity go stale quickly.
 func (s *Server) ReportsSlowdown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.report.Slowdown > 0
 }
 
-// OnRestart has do called once when the server is known to have started again: what it
-// ran is lost then. Stop takes that back.
+// OnRestart calls do once, in its own goroutine, when the server is known to have restarted
+// and its requests are lost. stop cancels the call.
 func (s *Server) OnRestart(do func()) (stop func() bool) { return context.AfterFunc(s.lifetime, do) }
 
-// Address returns where the server is.
+// Address returns the server's network address.
 func (s *Server) Address() ident.Address {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// Slots returns how many requests the server runs at once, as the list says.
+// Slots returns how many requests the server runs at once, according to the fleet's list.
 func (s *Server) Slots() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.slots
 }
 
-// Leaving tells whether the list says that the server is about to end.
+// Leaving reports whether the server is listed as leaving.
 func (s *Server) Leaving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,8 @@
 	s.ownAtReport = s.ownHistory.at(report.At, s.own)
 }
 
-// RecordLoad takes over the load that the server told with an answer.
+// RecordLoad records the load that the server reported with an answer. Versions and Cached
+// are kept from the last polled report. now is by the monotonic clock.
 func (s *Server) RecordLoad(report Report, now clock.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,8 +88,8 @@
 	s.ownAtReport = s.own
 }
 
-// candidate describes the server to a policy; it reports false if the server
-// can't take the request at all.
+// candidate describes the server to a policy. It reports false if the server cannot take
+// the request.
 func (s *Server) candidate(q Query, now clock.Millis) (route.Candidate, bool) {
 	weight := s.Breaker.Weight(now)
 	s.mu.Lock()
@@ -113,7 +114,8 @@
 	return c, true
 }
 
-// estimatedLoad is the own load and what others had at the last report; mu is held.
+// estimatedLoad returns this instance's requests plus those of others at the last report.
+// mu must be held.
 func (s *Server) estimatedLoad() int {
 	return s.own + max(s.report.Running+s.report.Waiting-s.ownAtReport, 0)
 }
@@ -128,8 +130,8 @@
 	s.ownHistory.record(wall, s.own)
 }
 
-// Release ends a request at the server. Live is as it was in the query, and
-// took is the request's time if it succeeded.
+// Release ends a request that Pick or Acquire counted at the server. live must be the same
+// as there. latency counts only if ok is true.
 func (s *Server) Release(c *clock.Clock, live bool, latency clock.Millis, ok bool) {
 	now := c.Mono()
 	s.mu.Lock()
@@ -150,7 +152,7 @@
 	}
 }
 
-// Status is a server's state for operators.
+// Status is a snapshot of a server's state for operators.
 type Status struct {
 	Name          ident.BackendName
 	Service       ident.Service
@@ -163,7 +165,7 @@
 	Report        Report
 }
 
-// Status returns the state at now.
+// Status returns the server's state; now is by the monotonic clock.
 func (s *Server) Status(now clock.Millis) Status {
 	weight := s.Breaker.Weight(now)
 	s.mu.Lock()
@@ -174,9 +176,9 @@
 	}
 }
 
-// RecordVersion notes the version that a stream of the server named. Streams are
-// believed over load reports, which can be late or wrong. It reports whether the
-// load report says a newer version and this was not told within a second.
+// RecordVersion records the version that the server reported in a stream. It takes
+// precedence over load reports, which can be late or wrong. It returns true if the load
+// report has a newer version, at most once per second and trainer.
 func (s *Server) RecordVersion(trainer ident.Trainer, version ident.Version, now clock.Millis) (mismatch bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,11 +194,11 @@
 	return mismatch
 }
 
-// speedWeight weighs a new observation of the speed against the mean so far.
+// speedWeight is the weight of a new observation in the moving average of the speed.
 const speedWeight = 0.25
 
-// RecordSpeed notes that a sequence got so many tokens in a span. What it would
-// have got alone is inferred from the load, since batching shares the engine.
+// RecordSpeed records that a sequence received tokens within span. Sequences in a batch
+// share the engine, so the speed of a sequence alone is estimated from the load.
 func (s *Server) RecordSpeed(tokens ident.Tokens, span clock.Millis, slots int) {
 	if span <= 0 || tokens <= 0 {
 		return
@@ -211,23 +213,23 @@
 	s.speed = s.speed*(1-speedWeight) + alone*speedWeight
 }
 
-// Rate returns the tokens a second that one more sequence is expected to get;
-// 0 if nothing is known.
+// Rate returns the expected rate of one more sequence in tokens per second, or 0 if
+// unknown.
 func (s *Server) Rate(slots int) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.speed / (1 + float64(s.estimatedLoad()+1)/float64(max(slots, 1)))
 }
 
-// Version returns the version of a trainer's weights that the server is
-// believed to run.
+// Version returns the estimated version of a trainer's weights at the server.
 func (s *Server) Version(trainer ident.Trainer) ident.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.estimatedVersion(trainer)
 }
 
-// estimatedVersion prefers what a stream showed to an older report; mu is held.
+// estimatedVersion returns the version observed in a stream if it is recent enough, else
+// the one of the last load report. mu must be held.
 func (s *Server) estimatedVersion(trainer ident.Trainer) ident.Version {
 	last, ok := s.observed[trainer]
 	if ok && last.at >= s.reportReceived-observedGrace {
@@ -236,7 +238,7 @@
 	return s.report.Versions[trainer]
 }
 
-// Usable tells whether the server may get new work.
+// Usable reports whether the server may receive new requests.
 func (s *Server) Usable(now clock.Millis) bool {
 	weight := s.Breaker.Weight(now)
 	s.mu.Lock()
