--- a/croftmoor/proxy/ended.go
+++ b/croftmoor/proxy/ended.go
@@ -27,20 +27,20 @@
 
 // HeldFor returns for how long a call goes to no server; 0 if it may.
 func (p *Proxy) HeldFor(r *Request) clock.Millis {
-	left, _ := p.held(r, &state{})
+	left, _ := p.held(r, &callState{})
 	return left
 }
 
-func (p *Proxy) held(r *Request, s *state) (left clock.Millis, why string) {
+func (p *Proxy) held(r *Request, s *callState) (left clock.Millis, why string) {
 	if p.Guard == nil || p.Guard.Quiet() {
 		return 0, ""
 	}
 	return p.Guard.Held(s.fingerprint(r))
 }
 
-// holds tells whether the call goes to no server any more. It is asked before each try:
+// refuseIfHeld tells whether the call goes to no server any more. It is asked before each try:
 // the try before may have been the one that showed it.
-func (p *Proxy) holds(r *Request, s *state) bool {
+func (p *Proxy) refuseIfHeld(r *Request, s *callState) bool {
 	left, why := p.held(r, s)
 	if left == 0 {
 		return false
@@ -50,11 +50,11 @@
 	return true
 }
 
-// noteEnd finds out whether a server ended while it ran a call that got no answer:
+// detectServerExit finds out whether a server ended while it ran a call that got no answer:
 // nobody listens at its address any more. An answer that was lost on the way, a cut
 // and a call that ran out of time leave no such trace; one that said it would leave
 // ended for its own reasons.
-func (p *Proxy) noteEnd(ctx context.Context, r *Request, s *state, server *pool.Server, took clock.Millis) {
+func (p *Proxy) detectServerExit(ctx context.Context, r *Request, s *callState, server *pool.Server, elapsed clock.Millis) {
 	if ctx.Err() != nil || server.Leaving() || !p.Client.ConnectionRefused(ctx, server.Address()) {
 		return
 	}
@@ -67,21 +67,21 @@
 	}
 	p.Trail.Add(trail.Decision{
 		ID: string(r.ID), Action: trail.Ended, Choice: string(server.Name),
-		Reason: fmt.Sprintf("request %s, %s %s, %d ms after it was sent: nobody listens at %s any more", request, r.Method, r.Target, took, server.Address()),
+		Reason: fmt.Sprintf("request %s, %s %s, %d ms after it was sent: nobody listens at %s any more", request, r.Method, r.Target, elapsed, server.Address()),
 	})
 }
 
-// clear tells that a server answered a call, if any call is suspected.
-func (p *Proxy) clear(r *Request, s *state) {
+// reportAnswered tells that a server answered a call, if any call is suspected.
+func (p *Proxy) reportAnswered(r *Request, s *callState) {
 	if p.Guard != nil && !p.Guard.Quiet() {
 		p.Guard.Answered(s.fingerprint(r))
 	}
 }
 
 // fingerprint returns what the call shares with others that ask for the same.
-func (s *state) fingerprint(r *Request) poison.Fingerprint {
-	if s.print == "" {
-		s.print = poison.Subject{Organisation: r.Organisation, Host: r.Route.Host, Method: r.Method, Target: r.Target, Body: r.Body}.Fingerprint()
+func (s *callState) fingerprint(r *Request) poison.Fingerprint {
+	if s.cachedFingerprint == "" {
+		s.cachedFingerprint = poison.Subject{Organisation: r.Organisation, Host: r.Route.Host, Method: r.Method, Target: r.Target, Body: r.Body}.Fingerprint()
 	}
-	return s.print
+	return s.cachedFingerprint
 }
--- a/croftmoor/proxy/harm_test.go
+++ b/croftmoor/proxy/harm_test.go
@@ -17,23 +17,23 @@
 	"croftmoor.dev/kernel/poison"
 )
 
-// told is a guard that notes what it is told and holds what it is meant to.
-type told struct {
+// fakeGuard is a guard that notes what it is fakeGuard and holds what it is meant to.
+type fakeGuard struct {
 	mu       sync.Mutex
 	left     clock.Millis
 	ended    []poison.End
 	answered int
 }
 
-func (*told) Quiet() bool { return false }
+func (*fakeGuard) Quiet() bool { return false }
 
-func (g *told) Held(poison.Fingerprint) (left clock.Millis, why string) {
+func (g *fakeGuard) Held(poison.Fingerprint) (left clock.Millis, why string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.left, "held"
 }
 
-func (g *told) Ended(request poison.Fingerprint, server ident.BackendName) {
+func (g *fakeGuard) Ended(request poison.Fingerprint, server ident.BackendName) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ended = append(g.ended, poison.End{Request: request, Server: server})
@@ -42,15 +42,15 @@
 	}
 }
 
-func (g *told) Answered(poison.Fingerprint) {
+func (g *fakeGuard) Answered(poison.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.answered++
 }
 
-// breaking returns a server that breaks the connection of each request, and ends with
+// newBreakingBackend returns a server that breaks the connection of each request, and ends with
 // the first one if it is meant to.
-func breaking(t *testing.T, name string, ends bool) *backend {
+func newBreakingBackend(t *testing.T, name string, ends bool) *backend {
 	t.Helper()
 	b := &backend{}
 	var server *httptest.Server
@@ -87,8 +87,8 @@
 
 func TestGuardedCalls(t *testing.T) {
 	t.Run("an end is told of with the server's start, and the call is lost", func(t *testing.T) {
-		g := &told{}
-		p := newProxy(breaking(t, "s", true))
+		g := &fakeGuard{}
+		p := newProxy(newBreakingBackend(t, "s", true))
 		p.Guard = g
 		wantKind(t, call(t, p, "r", 1), Lost)
 		if want := ident.NewBackend("s", 7); len(g.ended) != 1 || g.ended[0].Server != want {
@@ -96,8 +96,8 @@
 		}
 	})
 	t.Run("a server that loses answers and lives on is not told of", func(t *testing.T) {
-		g := &told{}
-		p := newProxy(breaking(t, "s", false))
+		g := &fakeGuard{}
+		p := newProxy(newBreakingBackend(t, "s", false))
 		p.Guard = g
 		wantKind(t, call(t, p, "r", 1), Lost)
 		if len(g.ended) > 0 {
@@ -105,24 +105,24 @@
 		}
 	})
 	t.Run("nor is one that had said it would leave", func(t *testing.T) {
-		g := &told{}
-		b := breaking(t, "s", true)
+		g := &fakeGuard{}
+		b := newBreakingBackend(t, "s", true)
 		p := newProxy(b)
 		p.Guard = g
 		server := p.Pool.Servers("plain")[0]
 		b.member.State = fleet.Leaving
 		p.Pool.Fleet.Set([]fleet.Member{b.member})
 		p.Pool.Refresh()
-		p.noteEnd(t.Context(), &Request{}, &state{}, server, 0)
+		p.detectServerExit(t.Context(), &Request{}, &callState{}, server, 0)
 		if len(g.ended) > 0 {
 			t.Errorf("told of %v, want nothing", g.ended)
 		}
 	})
 	t.Run("a call under which the last server that it may cost has ended goes to no other", func(t *testing.T) {
-		g := &told{}
+		g := &fakeGuard{}
 		var servers []*backend
 		for n := range 6 {
-			servers = append(servers, breaking(t, "s"+strconv.Itoa(n), true))
+			servers = append(servers, newBreakingBackend(t, "s"+strconv.Itoa(n), true))
 		}
 		p := newProxy(servers...)
 		p.Guard = g
@@ -137,7 +137,7 @@
 		}
 	})
 	t.Run("an answer is told, also a failure", func(t *testing.T) {
-		g := &told{}
+		g := &fakeGuard{}
 		p := newProxy(newBackend(t, "s", http.StatusInternalServerError))
 		p.Guard = g
 		_ = call(t, p, "r", 1)
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -116,43 +116,43 @@
 	Began(organisation ident.Organisation, at clock.Millis)
 }
 
-// leastSend is the time below which a call is not sent any more: the server
+// minTimeToSend is the time below which a call is not sent any more: the server
 // could not answer in it.
-const leastSend = 5 * clock.Millis(1)
+const minTimeToSend = 5 * clock.Millis(1)
 
-// mostVain is how many servers that took no byte of a call are not counted among its
+// maxUnreached is how many servers that took no byte of a call are not counted among its
 // attempts. Servers that ended stay listed for 2 to 3 s; when three of four had, calls
 // with two attempts were refused 10 times in 20 beside an idle server. Each costs a round
 // trip, some 2 ms; beyond these the service is more likely gone as a whole.
-const mostVain = 4
+const maxUnreached = 4
 
 // Do carries a call to its end.
 func (p *Proxy) Do(ctx context.Context, r Request) (*httpc.Answer, error) {
 	if r.Route.Timeout > 0 {
 		r.Until = min(r.Until, p.Clock.Mono()+r.Route.Timeout)
 	}
-	state := &state{service: r.Route.Service(newRandom())}
-	defer func() { p.count(r, state) }()
+	state := &callState{service: r.Route.Service(newRandom())}
+	defer func() { p.recordUsage(r, state) }()
 	leave, err := p.enter(ctx, r, state)
 	if err != nil {
 		return nil, err
 	}
 	defer leave()
-	for state.left(r.Route) && p.again(state) {
-		if ctx.Err() != nil || r.Until-p.Clock.Mono() < leastSend || p.holds(&r, state) {
+	for state.hasAttempts(r.Route) && p.mayRetry(state) {
+		if ctx.Err() != nil || r.Until-p.Clock.Mono() < minTimeToSend || p.refuseIfHeld(&r, state) {
 			break
 		}
 		server := p.pick(r, state)
 		if server == nil {
 			break
 		}
-		state.tries++
+		state.attempts++
 		state.tried = append(state.tried, server.Name)
-		answer, again := p.try(ctx, r, server, state)
+		answer, retry := p.try(ctx, r, server, state)
 		if answer != nil {
 			return answer, nil
 		}
-		if !again {
+		if !retry {
 			break
 		}
 	}
@@ -163,41 +163,43 @@
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// state is how far a call has got.
-type state struct {
+// callState is how far a call has got.
+type callState struct {
 	service ident.Service
-	// tries counts the servers that were chosen, vain those of them that no byte of the
+	// attempts counts the servers that were chosen, vain those of them that no byte of the
 	// call was sent to.
-	tries int
-	vain  int
-	tried []ident.BackendName
-	// ran tells that a server may have run the call, answered that one certainly did;
+	attempts  int
+	unreached int
+	tried     []ident.BackendName
+	// mayHaveRun tells that a server may have run the call, answered that one certainly did;
 	// began is when the call was last sent to one that did.
-	ran      bool
-	answered bool
-	began    clock.Millis
-	last     error
-	// print is the call's fingerprint, if it was needed; held that the call goes to no
+	mayHaveRun bool
+	answered   bool
+	sentAt     clock.Millis
+	lastErr    error
+	// cachedFingerprint is the call's fingerprint, if it was needed; held that the call goes to no
 	// server any more.
-	print poison.Fingerprint
-	held  bool
-	// shared tells that the call was let in to the service's shared room; costly that
+	cachedFingerprint poison.Fingerprint
+	held              bool
+	// admitted tells that the call was let in to the service's admitted room; costly that
 	// another try at a server comes out of the budget.
-	shared bool
-	costly bool
+	admitted        bool
+	usesRetryBudget bool
 }
 
-// left tells whether the call may go to one more server.
-func (s *state) left(route paths.Route) bool { return s.tries-s.vain < max(route.MaxAttempts, 1) }
+// hasAttempts tells whether the call may go to one more server.
+func (s *callState) hasAttempts(route paths.Route) bool {
+	return s.attempts-s.unreached < max(route.MaxAttempts, 1)
+}
 
-func (p *Proxy) pick(r Request, s *state) *pool.Server {
+func (p *Proxy) pick(r Request, s *callState) *pool.Server {
 	query := pool.Query{
-		ID: r.ID, Exclude: s.tried, Live: true, LiveOnly: s.shared,
+		ID: r.ID, Exclude: s.tried, Live: true, LiveOnly: s.admitted,
 		Service: conf.Service{Name: s.service, Policy: route.Balanced, Slots: p.slots(s.service)},
 	}
 	server, runnerUp, reason := p.Pool.Pick(query)
 	action := trail.Route
-	if s.tries > 0 {
+	if s.attempts > 0 {
 		action = trail.Retry
 	}
 	if server == nil {
@@ -208,15 +210,15 @@
 		choice = server.Name
 	}
 	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: action, Choice: string(choice), RunnerUp: string(runnerUp),
-		Reason: fmt.Sprintf("try %d, %d ms left, %s", s.tries+1, r.Until-p.Clock.Mono(), reason)})
+		Reason: fmt.Sprintf("try %d, %d ms left, %s", s.attempts+1, r.Until-p.Clock.Mono(), reason)})
 	return server
 }
 
-// count tells the meter of a call that a server began. A call counts once, however
+// recordUsage tells the meter of a call that a server began. A call counts once, however
 // many servers it came to: callers see one.
-func (p *Proxy) count(r Request, s *state) {
-	if p.Usage != nil && r.Organisation != "" && (s.ran || s.answered) {
-		p.Usage.Began(r.Organisation, s.began)
+func (p *Proxy) recordUsage(r Request, s *callState) {
+	if p.Usage != nil && r.Organisation != "" && (s.mayHaveRun || s.answered) {
+		p.Usage.Began(r.Organisation, s.sentAt)
 	}
 }
 
@@ -231,14 +233,14 @@
 }
 
 // try sends the call to one server. It reports whether another may be tried.
-func (p *Proxy) try(ctx context.Context, r Request, server *pool.Server, s *state) (answer *httpc.Answer, again bool) {
+func (p *Proxy) try(ctx context.Context, r Request, server *pool.Server, s *callState) (answer *httpc.Answer, retry bool) {
 	repeatable := r.Route.Kind == paths.Repeatable
 	left := r.Until - p.Clock.Mono()
-	patience := left
-	if repeatable && s.left(r.Route) {
-		patience = min(left, p.Patience)
+	timeout := left
+	if repeatable && s.hasAttempts(r.Route) {
+		timeout = min(left, p.Patience)
 	}
-	tryCtx, cancel := context.WithTimeout(ctx, patience.Duration())
+	tryCtx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	if repeatable {
 		// A call that may not be repeated is waited for: it may have reached the new start.
@@ -251,103 +253,103 @@
 	}
 	began := p.Clock.Mono()
 	answer, err := p.Client.Do(tryCtx, call)
-	took := p.Clock.Mono() - began
+	latency := p.Clock.Mono() - began
 	if err != nil {
-		s.noteLost(err, began)
-		server.Release(p.Clock, true, took, false)
+		s.recordNoAnswer(err, began)
+		server.Release(p.Clock, true, latency, false)
 		if fault.KindOf[httpc.Kind](err) == httpc.Lost {
-			p.noteEnd(tryCtx, &r, s, server, took)
+			p.detectServerExit(tryCtx, &r, s, server, latency)
 		}
-		return nil, p.failed(ctx, r, server, s, repeatable, err)
+		return nil, p.recordFailedAttempt(ctx, r, server, s, repeatable, err)
 	}
 	verdict := p.Protocol.Judge(answer)
-	p.noteAnswer(&r, s, verdict, began)
-	p.learn(server, verdict)
-	p.noteRoom(r, s, server.Name, answer, verdict, took)
-	server.Release(p.Clock, true, took, !verdict.NotRun && !verdict.Faulty)
+	p.recordAnswer(&r, s, verdict, began)
+	p.recordLoad(server, verdict)
+	p.observeRoom(r, s, server.Name, answer, verdict, latency)
+	server.Release(p.Clock, true, latency, !verdict.NotRun && !verdict.Faulty)
 	if verdict.NotRun {
-		s.last = fault.New("proxy.try", NotRun, string(server.Name)+" answered "+http.StatusText(answer.Status))
-		p.note(r, trail.Retry, server, "the server has not run it")
+		s.lastErr = fault.New("proxy.try", NotRun, string(server.Name)+" answered "+http.StatusText(answer.Status))
+		p.logDecision(r, trail.Retry, server, "the server has not run it")
 		return nil, true
 	}
 	if verdict.Faulty && server.Breaker.RecordFailure(p.Clock.Mono()) {
-		p.note(r, trail.Hold, server, "ejected after answers of failure")
+		p.logDecision(r, trail.Hold, server, "ejected after answers of failure")
 	}
-	if verdict.Faulty && repeatable && s.left(r.Route) {
-		s.ran, s.costly = true, true
-		s.last = fault.New("proxy.try", Lost, string(server.Name)+" answered "+http.StatusText(answer.Status))
-		p.note(r, trail.Retry, server, fmt.Sprintf("the server failed it with %d", answer.Status))
+	if verdict.Faulty && repeatable && s.hasAttempts(r.Route) {
+		s.mayHaveRun, s.usesRetryBudget = true, true
+		s.lastErr = fault.New("proxy.try", Lost, string(server.Name)+" answered "+http.StatusText(answer.Status))
+		p.logDecision(r, trail.Retry, server, fmt.Sprintf("the server failed it with %d", answer.Status))
 		return nil, true
 	}
 	return answer, false
 }
 
-// noteAnswer notes a server's answer to a call that was sent to it at a time.
-func (p *Proxy) noteAnswer(r *Request, s *state, v Verdict, at clock.Millis) {
+// recordAnswer notes a server's answer to a call that was sent to it at a time.
+func (p *Proxy) recordAnswer(r *Request, s *callState, v Verdict, at clock.Millis) {
 	if v.NotRun {
 		return
 	}
-	s.answered, s.began = true, at
-	p.clear(r, s)
+	s.answered, s.sentAt = true, at
+	p.reportAnswered(r, s)
 }
 
-// noteLost notes a call without an answer.
-func (s *state) noteLost(err error, at clock.Millis) {
+// recordNoAnswer notes a call without an answer.
+func (s *callState) recordNoAnswer(err error, at clock.Millis) {
 	if fault.KindOf[httpc.Kind](err) == httpc.NotSent {
-		s.vain = min(s.vain+1, mostVain)
+		s.unreached = min(s.unreached+1, maxUnreached)
 		return
 	}
-	s.ran, s.costly = true, true
+	s.mayHaveRun, s.usesRetryBudget = true, true
 	if !s.answered {
-		s.began = at
+		s.sentAt = at
 	}
 }
 
-func (p *Proxy) learn(server *pool.Server, v Verdict) {
+func (p *Proxy) recordLoad(server *pool.Server, v Verdict) {
 	if v.HasLoad {
 		server.RecordLoad(v.Load, p.Clock.Mono())
 	}
 }
 
-// failed notes a try without an answer, and reports whether another may follow.
-func (p *Proxy) failed(ctx context.Context, r Request, server *pool.Server, s *state, repeatable bool, err error) bool {
-	s.last = err
+// recordFailedAttempt notes a try without an answer, and reports whether another may follow.
+func (p *Proxy) recordFailedAttempt(ctx context.Context, r Request, server *pool.Server, s *callState, repeatable bool, err error) bool {
+	s.lastErr = err
 	sent := fault.KindOf[httpc.Kind](err) != httpc.NotSent
 	if ctx.Err() != nil {
 		return false
 	}
 	if server.Breaker.RecordFailure(p.Clock.Mono()) {
-		p.note(r, trail.Hold, server, "ejected after failures")
+		p.logDecision(r, trail.Hold, server, "ejected after failures")
 	}
-	p.note(r, trail.Retry, server, err.Error())
+	p.logDecision(r, trail.Retry, server, err.Error())
 	return repeatable || !sent
 }
 
-func (p *Proxy) note(r Request, action trail.Action, server *pool.Server, reason string) {
+func (p *Proxy) logDecision(r Request, action trail.Action, server *pool.Server, reason string) {
 	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: action, Choice: string(server.Name), Reason: reason})
 }
 
 // giveUp returns the error of a call that got no answer.
-func (p *Proxy) giveUp(ctx context.Context, r Request, s *state) error {
+func (p *Proxy) giveUp(ctx context.Context, r Request, s *callState) error {
 	kind := NotRun
 	switch {
 	case ctx.Err() != nil:
 		kind = Left
-	case s.held && !s.ran:
+	case s.held && !s.mayHaveRun:
 		kind = Harmful
-	case s.ran && r.Until-p.Clock.Mono() < leastSend:
+	case s.mayHaveRun && r.Until-p.Clock.Mono() < minTimeToSend:
 		kind = Late
-	case s.ran:
+	case s.mayHaveRun:
 		kind = Lost
 	}
-	what := fmt.Sprintf("service %s after %d tries", s.service, s.tries)
-	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: trail.Refuse, Choice: string(kind), Reason: what})
-	failed := fault.New("proxy.Do", kind, what)
-	if s.last != nil {
-		failed = fault.Wrap("proxy.Do", kind, s.last, what)
+	summary := fmt.Sprintf("service %s after %d tries", s.service, s.attempts)
+	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: trail.Refuse, Choice: string(kind), Reason: summary})
+	failed := fault.New("proxy.Do", kind, summary)
+	if s.lastErr != nil {
+		failed = fault.Wrap("proxy.Do", kind, s.lastErr, summary)
 	}
-	if kind == NotRun && s.shared {
-		failed.RetryAfter = p.Rooms.ComeBack(s.service, r.sharer())
+	if kind == NotRun && s.admitted {
+		failed.RetryAfter = p.Rooms.ComeBack(s.service, r.shareOwner())
 	}
 	return failed
 }
--- a/croftmoor/proxy/room.go
+++ b/croftmoor/proxy/room.go
@@ -28,24 +28,24 @@
 	ComeBack(service ident.Service, by ident.Organisation) clock.Millis
 }
 
-// ownCalls shares room for the system's own calls; no organisation has such a name.
-const ownCalls = ident.Organisation("\x00own")
+// internalCalls shares room for the system's own calls; no organisation has such a name.
+const internalCalls = ident.Organisation("\x00own")
 
-// sharer returns which organisation's share of the room the call takes.
-func (r *Request) sharer() ident.Organisation {
+// shareOwner returns which organisation's share of the room the call takes.
+func (r *Request) shareOwner() ident.Organisation {
 	if r.Own {
-		return ownCalls
+		return internalCalls
 	}
 	return r.Organisation
 }
 
 // enter waits for the call's turn at its service. What is refused has not run.
-func (p *Proxy) enter(ctx context.Context, r Request, s *state) (leave func(), err error) {
+func (p *Proxy) enter(ctx context.Context, r Request, s *callState) (leave func(), err error) {
 	if p.Rooms == nil || !p.Rooms.Shared(s.service) {
 		return func() {}, nil
 	}
 	now := p.Clock.Mono()
-	ask := admit.Request{Organisation: r.sharer(), Priority: r.Urgent, StartBy: r.Until, Deadline: r.Until}
+	ask := admit.Request{Organisation: r.shareOwner(), Priority: r.Urgent, StartBy: r.Until, Deadline: r.Until}
 	if r.Route.LatencyObjective > 0 {
 		ask.StartBy = min(now+r.Route.LatencyObjective, r.Until)
 	}
@@ -53,7 +53,7 @@
 	defer cancel()
 	leave, decision, err := p.Rooms.Enter(waitCtx, s.service, ask)
 	if err == nil {
-		s.shared = true
+		s.admitted = true
 		return leave, nil
 	}
 	kind := NotRun
@@ -70,21 +70,21 @@
 	return nil, refused
 }
 
-// again tells whether the call may go to a server: first tries always may, further ones
+// mayRetry tells whether the call may go to a server: first tries always may, further ones
 // come out of a budget, since each of them asks servers that are full already. 48,424 of
 // 65,787 arrivals were shed when callers asked for up to five times what the servers do.
-func (p *Proxy) again(s *state) bool {
-	return !s.costly || !s.shared || p.Rooms.TryAgain(s.service)
+func (p *Proxy) mayRetry(s *callState) bool {
+	return !s.usesRetryBudget || !s.admitted || p.Rooms.TryAgain(s.service)
 }
 
-// noteRoom tells what an answer says of the room at its server.
-func (p *Proxy) noteRoom(r Request, s *state, server ident.BackendName, a *httpc.Answer, v Verdict, took clock.Millis) {
-	if !s.shared {
+// observeRoom tells what an answer says of the room at its server.
+func (p *Proxy) observeRoom(r Request, s *callState, server ident.BackendName, a *httpc.Answer, v Verdict, latency clock.Millis) {
+	if !s.admitted {
 		return
 	}
 	shed := v.NotRun && a.Status == http.StatusServiceUnavailable
-	s.costly = s.costly || shed
-	signal := admit.Signal{Server: server, Shed: shed, Latency: took, Objective: r.Route.LatencyObjective}
+	s.usesRetryBudget = s.usesRetryBudget || shed
+	signal := admit.Signal{Server: server, Shed: shed, Latency: latency, Objective: r.Route.LatencyObjective}
 	if v.HasLoad {
 		signal.Waiting, signal.Slots = v.Load.Waiting, v.Load.Slots
 	}
--- a/croftmoor/proxy/stream.go
+++ b/croftmoor/proxy/stream.go
@@ -28,13 +28,13 @@
 const Broke Kind = "Broke"
 
 const (
-	// streamSilence is how long a stream that may be continued elsewhere may be
+	// streamIdleTimeout is how long a stream that may be continued elsewhere may be
 	// silent: callers give up after two seconds at the earliest.
-	streamSilence = 1 * clock.Second
-	// maxEvent bounds one event.
-	maxEvent = 1 << 20
-	// mostRead bounds the body of an answer that is no stream.
-	mostRead = 64 << 20
+	streamIdleTimeout = 1 * clock.Second
+	// maxEventBytes bounds one event.
+	maxEventBytes = 1 << 20
+	// maxBodyBytes bounds the body of an answer that is no stream.
+	maxBodyBytes = 64 << 20
 )
 
 // Stream carries a call that is answered in events. A stream that may be
@@ -46,46 +46,46 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, (r.Until - p.Clock.Mono()).Duration())
 	defer cancel()
-	f := &flow{state: state{service: r.Route.Service(newRandom())}, sink: sink}
-	defer func() { p.count(r, &f.state) }()
-	for f.left(r.Route) && ctx.Err() == nil && !p.holds(&r, &f.state) {
-		server := p.pick(r, &f.state)
+	f := &streamState{callState: callState{service: r.Route.Service(newRandom())}, sink: sink}
+	defer func() { p.recordUsage(r, &f.callState) }()
+	for f.hasAttempts(r.Route) && ctx.Err() == nil && !p.refuseIfHeld(&r, &f.callState) {
+		server := p.pick(r, &f.callState)
 		if server == nil {
 			break
 		}
-		f.tries++
+		f.attempts++
 		f.tried = append(f.tried, server.Name)
 		done, err := p.flow(ctx, r, server, f)
 		if done {
 			return nil
 		}
-		f.last = err
-		p.note(r, trail.Retry, server, fmt.Sprintf("after event %q: %v", f.lastID, err))
-		if f.ran && !r.Route.Resumable {
+		f.lastErr = err
+		p.logDecision(r, trail.Retry, server, fmt.Sprintf("after event %q: %v", f.lastID, err))
+		if f.mayHaveRun && !r.Route.Resumable {
 			break
 		}
 	}
-	if f.begun {
-		return fault.Wrap("proxy.Stream", Broke, f.last, fmt.Sprintf("after event %q", f.lastID))
+	if f.headSent {
+		return fault.Wrap("proxy.Stream", Broke, f.lastErr, fmt.Sprintf("after event %q", f.lastID))
 	}
-	return p.giveUp(ctx, r, &f.state)
+	return p.giveUp(ctx, r, &f.callState)
 }
 
-// flow is how far a stream has got.
-type flow struct {
-	state
-	sink  Sink
-	begun bool
+// streamState is how far a stream has got.
+type streamState struct {
+	callState
+	sink     Sink
+	headSent bool
 	// lastID is the id of the last event that was passed on.
 	lastID string
 }
 
 // flow passes one server's part of a stream on. It reports whether the stream
 // has come to its proper end.
-func (p *Proxy) flow(ctx context.Context, r Request, server *pool.Server, f *flow) (bool, error) {
+func (p *Proxy) flow(ctx context.Context, r Request, server *pool.Server, f *streamState) (bool, error) {
 	began := p.Clock.Mono()
-	ended := false
-	defer func() { server.Release(p.Clock, true, p.Clock.Mono()-began, ended) }()
+	complete := false
+	defer func() { server.Release(p.Clock, true, p.Clock.Mono()-began, complete) }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if r.Route.Resumable {
@@ -93,49 +93,49 @@
 	}
 	stream, err := p.Client.Open(ctx, p.streamCall(r, server, f))
 	if err != nil {
-		f.noteLost(err, began)
+		f.recordNoAnswer(err, began)
 		server.Breaker.RecordFailure(p.Clock.Mono())
 		if fault.KindOf[httpc.Kind](err) == httpc.Lost {
-			p.noteEnd(ctx, &r, &f.state, server, p.Clock.Mono()-began)
+			p.detectServerExit(ctx, &r, &f.callState, server, p.Clock.Mono()-began)
 		}
 		return false, err
 	}
 	defer stream.Close()
 	head := &httpc.Answer{Status: stream.Status, Headers: stream.Headers}
 	verdict := p.Protocol.Judge(head)
-	p.learn(server, verdict)
+	p.recordLoad(server, verdict)
 	if verdict.NotRun {
 		return false, fault.New("proxy.flow", NotRun, http.StatusText(stream.Status))
 	}
-	f.ran = true
-	f.answered, f.began = true, began
-	if f.begun && stream.Status != http.StatusOK {
+	f.mayHaveRun = true
+	f.answered, f.sentAt = true, began
+	if f.headSent && stream.Status != http.StatusOK {
 		return false, fault.New("proxy.flow", Lost, "not continued: "+http.StatusText(stream.Status))
 	}
-	if !f.begun {
-		f.begun = true
+	if !f.headSent {
+		f.headSent = true
 		f.sink.Head(stream.Status, stream.Headers)
 	}
 	if stream.Status != http.StatusOK {
-		p.clear(&r, &f.state)
-		body, err := io.ReadAll(io.LimitReader(stream.Body, mostRead))
+		p.reportAnswered(&r, &f.callState)
+		body, err := io.ReadAll(io.LimitReader(stream.Body, maxBodyBytes))
 		if err == nil {
 			err = f.sink.Event(body)
 		}
 		return err == nil, err
 	}
-	err = p.events(r, stream, f, cancel)
-	ended = err == nil
-	if ended {
-		p.clear(&r, &f.state)
+	err = p.copyEvents(r, stream, f, cancel)
+	complete = err == nil
+	if complete {
+		p.reportAnswered(&r, &f.callState)
 	}
 	if fault.KindOf[Kind](err) == Lost {
-		p.noteEnd(ctx, &r, &f.state, server, p.Clock.Mono()-began)
+		p.detectServerExit(ctx, &r, &f.callState, server, p.Clock.Mono()-began)
 	}
-	return ended, err
+	return complete, err
 }
 
-func (p *Proxy) streamCall(r Request, server *pool.Server, f *flow) *httpc.Call {
+func (p *Proxy) streamCall(r Request, server *pool.Server, f *streamState) *httpc.Call {
 	headers := p.Protocol.Headers(&r, server.Name, r.Until-p.Clock.Mono())
 	if f.lastID != "" {
 		headers = p.Protocol.Resume(headers, f.lastID)
@@ -147,18 +147,18 @@
 	}
 }
 
-// events passes events on, each only once it is whole: a server may stop in the
+// copyEvents passes copyEvents on, each only once it is whole: a server may stop in the
 // middle of one.
-func (p *Proxy) events(r Request, stream *httpc.Stream, f *flow, cancel context.CancelFunc) error {
+func (p *Proxy) copyEvents(r Request, stream *httpc.Stream, f *streamState, cancel context.CancelFunc) error {
 	if r.Route.Resumable {
-		silence := p.Clock.AfterFunc(streamSilence, cancel)
-		defer silence.Stop()
-		return pump(stream, f, func() { silence.Reset(streamSilence.Duration()) })
+		idleTimer := p.Clock.AfterFunc(streamIdleTimeout, cancel)
+		defer idleTimer.Stop()
+		return pump(stream, f, func() { idleTimer.Reset(streamIdleTimeout.Duration()) })
 	}
 	return pump(stream, f, func() {})
 }
 
-func pump(stream *httpc.Stream, f *flow, alive func()) error {
+func pump(stream *httpc.Stream, f *streamState, onEvent func()) error {
 	var event bytes.Buffer
 	id := ""
 	for {
@@ -171,7 +171,7 @@
 		if err != nil {
 			return fault.Wrap("proxy.pump", Lost, err, "the stream broke off")
 		}
-		if event.Len() > maxEvent {
+		if event.Len() > maxEventBytes {
 			return fault.New("proxy.pump", Lost, "an event is too long")
 		}
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -180,7 +180,7 @@
 		if len(bytes.TrimSpace(line)) > 0 {
 			continue
 		}
-		alive()
+		onEvent()
 		if err := f.sink.Event(event.Bytes()); err != nil {
 			return fault.Wrap("proxy.pump", Left, err, "the caller has gone")
 		}
--- a/croftmoor/proxy/vain_test.go
+++ b/croftmoor/proxy/vain_test.go
@@ -10,8 +10,8 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// shut returns a server that is listed and has ended: nobody listens at its address.
-func shut(t *testing.T, name string) *backend {
+// newEndedBackend returns a server that is listed and has ended: nobody listens at its address.
+func newEndedBackend(t *testing.T, name string) *backend {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +32,7 @@
 	served := 0
 	for n := range calls {
 		// A new proxy each time: one that knows the servers has left those that ended.
-		p := newProxy(shut(t, "a"), shut(t, "b"), shut(t, "c"), good)
+		p := newProxy(newEndedBackend(t, "a"), newEndedBackend(t, "b"), newEndedBackend(t, "c"), good)
 		if call(t, p, "r"+strconv.Itoa(n), 2) == nil {
 			served++
 		}
