--- a/croftmoor/proxy/ended.go
+++ b/croftmoor/proxy/ended.go
@@ -58,8 +58,8 @@
 	if ctx.Err() != nil || server.Leaving() || !p.Client.ConnectionRefused(ctx, server.Address()) {
 		return
 	}
-	if p.Counts != nil {
-		p.Counts.ServerEnded(server.Service)
+	if p.Metrics != nil {
+		p.Metrics.ServerEnded(server.Service)
 	}
 	request := s.fingerprint(r)
 	if p.Guard != nil {
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -51,21 +51,21 @@
 	Body    []byte
 	// Organisation is whose call it is; empty if nobody's.
 	Organisation ident.Organisation
-	// Own tells that the system itself makes the call. Where room is shared out, its calls
+	// Internal tells that the system itself makes the call. Where room is shared out, its calls
 	// share it as one more organisation: beside callers with more time they came last.
-	Own bool
-	// Urgent is its rank, 0 first.
-	Urgent int
-	// Until is when the caller stops waiting, by the steady clock.
-	Until clock.Millis
+	Internal bool
+	// Priority is its rank, 0 first.
+	Priority int
+	// Deadline is when the caller stops waiting, by the steady clock.
+	Deadline clock.Millis
 }
 
 // Verdict is what a server's answer means for the call.
 type Verdict struct {
 	// NotRun tells that the server has not run the call.
 	NotRun bool
-	// Faulty tells that the server itself failed.
-	Faulty bool
+	// Failed tells that the server itself failed.
+	Failed bool
 	// Load is what the server told of its load; it counts if HasLoad is set.
 	Load    pool.Report
 	HasLoad bool
@@ -91,21 +91,21 @@
 	Client   *httpc.Client
 	Clock    *clock.Clock
 	Trail    *trail.Trail
-	// Patience is how long a repeatable call waits for one server before it is
+	// AttemptTimeout is how long a repeatable call waits for one server before it is
 	// tried at another.
-	Patience clock.Millis
+	AttemptTimeout clock.Millis
 	// Usage is told of calls of organisations that began to run; it may be nil.
 	Usage Usage
-	// Counts may be nil.
-	Counts Counts
+	// Metrics may be nil.
+	Metrics Metrics
 	// Guard may be nil.
 	Guard Guard
 	// Rooms lets calls in; nil lets all in.
 	Rooms Rooms
 }
 
-// Counts counts what operators watch.
-type Counts interface {
+// Metrics counts what operators watch.
+type Metrics interface {
 	// ServerEnded counts a server of a service that ended while it ran a call.
 	ServerEnded(service ident.Service)
 }
@@ -129,7 +129,7 @@
 // Do carries a call to its end.
 func (p *Proxy) Do(ctx context.Context, r Request) (*httpc.Answer, error) {
 	if r.Route.Timeout > 0 {
-		r.Until = min(r.Until, p.Clock.Mono()+r.Route.Timeout)
+		r.Deadline = min(r.Deadline, p.Clock.Mono()+r.Route.Timeout)
 	}
 	state := &callState{service: r.Route.Service(newRandom())}
 	defer func() { p.recordUsage(r, state) }()
@@ -139,7 +139,7 @@
 	}
 	defer leave()
 	for state.hasAttempts(r.Route) && p.mayRetry(state) {
-		if ctx.Err() != nil || r.Until-p.Clock.Mono() < minTimeToSend || p.refuseIfHeld(&r, state) {
+		if ctx.Err() != nil || r.Deadline-p.Clock.Mono() < minTimeToSend || p.refuseIfHeld(&r, state) {
 			break
 		}
 		server := p.pick(r, state)
@@ -210,7 +210,7 @@
 		choice = server.Name
 	}
 	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: action, Choice: string(choice), RunnerUp: string(runnerUp),
-		Reason: fmt.Sprintf("try %d, %d ms left, %s", s.attempts+1, r.Until-p.Clock.Mono(), reason)})
+		Reason: fmt.Sprintf("try %d, %d ms left, %s", s.attempts+1, r.Deadline-p.Clock.Mono(), reason)})
 	return server
 }
 
@@ -235,10 +235,10 @@
 // try sends the call to one server. It reports whether another may be tried.
 func (p *Proxy) try(ctx context.Context, r Request, server *pool.Server, s *callState) (answer *httpc.Answer, retry bool) {
 	repeatable := r.Route.Kind == paths.Repeatable
-	left := r.Until - p.Clock.Mono()
+	left := r.Deadline - p.Clock.Mono()
 	timeout := left
 	if repeatable && s.hasAttempts(r.Route) {
-		timeout = min(left, p.Patience)
+		timeout = min(left, p.AttemptTimeout)
 	}
 	tryCtx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
@@ -266,16 +266,16 @@
 	p.recordAnswer(&r, s, verdict, began)
 	p.recordLoad(server, verdict)
 	p.observeRoom(r, s, server.Name, answer, verdict, latency)
-	server.Release(p.Clock, true, latency, !verdict.NotRun && !verdict.Faulty)
+	server.Release(p.Clock, true, latency, !verdict.NotRun && !verdict.Failed)
 	if verdict.NotRun {
 		s.lastErr = fault.New("proxy.try", NotRun, string(server.Name)+" answered "+http.StatusText(answer.Status))
 		p.logDecision(r, trail.Retry, server, "the server has not run it")
 		return nil, true
 	}
-	if verdict.Faulty && server.Breaker.RecordFailure(p.Clock.Mono()) {
+	if verdict.Failed && server.Breaker.RecordFailure(p.Clock.Mono()) {
 		p.logDecision(r, trail.Hold, server, "ejected after answers of failure")
 	}
-	if verdict.Faulty && repeatable && s.hasAttempts(r.Route) {
+	if verdict.Failed && repeatable && s.hasAttempts(r.Route) {
 		s.mayHaveRun, s.usesRetryBudget = true, true
 		s.lastErr = fault.New("proxy.try", Lost, string(server.Name)+" answered "+http.StatusText(answer.Status))
 		p.logDecision(r, trail.Retry, server, fmt.Sprintf("the server failed it with %d", answer.Status))
@@ -337,7 +337,7 @@
 		kind = Left
 	case s.held && !s.mayHaveRun:
 		kind = Harmful
-	case s.mayHaveRun && r.Until-p.Clock.Mono() < minTimeToSend:
+	case s.mayHaveRun && r.Deadline-p.Clock.Mono() < minTimeToSend:
 		kind = Late
 	case s.mayHaveRun:
 		kind = Lost
--- a/croftmoor/proxy/proxy_test.go
+++ b/croftmoor/proxy/proxy_test.go
@@ -26,7 +26,7 @@
 func (plainProtocol) Resume(h []httpc.Header, _ string) []httpc.Header                 { return h }
 func (plainProtocol) Own(*Request, *httpc.Answer) bool                                 { return true }
 func (plainProtocol) Judge(a *httpc.Answer) Verdict {
-	return Verdict{Faulty: a.Status == http.StatusInternalServerError}
+	return Verdict{Failed: a.Status == http.StatusInternalServerError}
 }
 
 // backend answers with a status and counts its calls.
@@ -62,7 +62,7 @@
 	p.Refresh()
 	return &Proxy{
 		Pool: p, Protocol: plainProtocol{}, Client: &httpc.Client{}, Clock: c,
-		Trail: &trail.Trail{Log: zerolog.Nop(), Clock: c}, Patience: clock.Second,
+		Trail: &trail.Trail{Log: zerolog.Nop(), Clock: c}, AttemptTimeout: clock.Second,
 	}
 }
 
@@ -72,7 +72,7 @@
 	const calls = 40
 	for n := range calls {
 		answer, err := p.Do(t.Context(), Request{
-			ID: ident.RequestID("r-" + strconv.Itoa(n)), Method: http.MethodPost, Target: "/x", Until: p.Clock.Mono() + clock.Second,
+			ID: ident.RequestID("r-" + strconv.Itoa(n)), Method: http.MethodPost, Target: "/x", Deadline: p.Clock.Mono() + clock.Second,
 			Route: paths.Route{Kind: paths.Repeatable, MaxAttempts: 2, Shares: []paths.Share{{Service: "plain", Weight: 1}}},
 		})
 		if err != nil || answer.Status != http.StatusOK {
--- a/croftmoor/proxy/room.go
+++ b/croftmoor/proxy/room.go
@@ -33,7 +33,7 @@
 
 // shareOwner returns which organisation's share of the room the call takes.
 func (r *Request) shareOwner() ident.Organisation {
-	if r.Own {
+	if r.Internal {
 		return internalCalls
 	}
 	return r.Organisation
@@ -45,11 +45,11 @@
 		return func() {}, nil
 	}
 	now := p.Clock.Mono()
-	ask := admit.Request{Organisation: r.shareOwner(), Priority: r.Urgent, StartBy: r.Until, Deadline: r.Until}
+	ask := admit.Request{Organisation: r.shareOwner(), Priority: r.Priority, StartBy: r.Deadline, Deadline: r.Deadline}
 	if r.Route.LatencyObjective > 0 {
-		ask.StartBy = min(now+r.Route.LatencyObjective, r.Until)
+		ask.StartBy = min(now+r.Route.LatencyObjective, r.Deadline)
 	}
-	waitCtx, cancel := context.WithTimeout(ctx, (r.Until - now).Duration())
+	waitCtx, cancel := context.WithTimeout(ctx, (r.Deadline - now).Duration())
 	defer cancel()
 	leave, decision, err := p.Rooms.Enter(waitCtx, s.service, ask)
 	if err == nil {
@@ -63,7 +63,7 @@
 	p.Trail.Add(trail.Decision{
 		ID: string(r.ID), Action: trail.Refuse, Choice: string(kind),
 		Reason: fmt.Sprintf("service %s: %s; sharing as %q, rank %d, %d wait, %.0f calls a second, waited %d ms, back in %d ms",
-			s.service, decision.Reason, ask.Organisation, r.Urgent, decision.Waiting, decision.Rate, p.Clock.Mono()-now, decision.RetryAfter),
+			s.service, decision.Reason, ask.Organisation, r.Priority, decision.Waiting, decision.Rate, p.Clock.Mono()-now, decision.RetryAfter),
 	})
 	refused := fault.Wrap("proxy.enter", kind, err, "service "+string(s.service))
 	refused.RetryAfter = decision.RetryAfter
--- a/croftmoor/proxy/stream.go
+++ b/croftmoor/proxy/stream.go
@@ -42,9 +42,9 @@
 // head of the first one.
 func (p *Proxy) Stream(ctx context.Context, r Request, sink Sink) error {
 	if r.Route.Timeout > 0 {
-		r.Until = min(r.Until, p.Clock.Mono()+r.Route.Timeout)
+		r.Deadline = min(r.Deadline, p.Clock.Mono()+r.Route.Timeout)
 	}
-	ctx, cancel := context.WithTimeout(ctx, (r.Until - p.Clock.Mono()).Duration())
+	ctx, cancel := context.WithTimeout(ctx, (r.Deadline - p.Clock.Mono()).Duration())
 	defer cancel()
 	f := &streamState{callState: callState{service: r.Route.Service(newRandom())}, sink: sink}
 	defer func() { p.recordUsage(r, &f.callState) }()
@@ -136,7 +136,7 @@
 }
 
 func (p *Proxy) streamCall(r Request, server *pool.Server, f *streamState) *httpc.Call {
-	headers := p.Protocol.Headers(&r, server.Name, r.Until-p.Clock.Mono())
+	headers := p.Protocol.Headers(&r, server.Name, r.Deadline-p.Clock.Mono())
 	if f.lastID != "" {
 		headers = p.Protocol.Resume(headers, f.lastID)
 	}
