--- a/croftmoor/proxy/ended.go
+++ b/croftmoor/proxy/ended.go
@@ -11,21 +11,22 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// Guard knows the requests that end the servers that run them, as far as any instance
-// has seen. What a caller sends again has a new id each time, and comes to any
-// instance, so that nothing that one attempt or one instance remembers can stop it.
+// Guard tracks requests that crash the servers that run them, as seen by all instances.
+// Callers resend such a request with a new ID and to any instance, so it is identified by its
+// fingerprint.
 type Guard interface {
-	// Quiet tells that no request is suspected, so that none needs to be looked up.
+	// Quiet reports whether no request is suspected, in which case no look-up is needed.
 	Quiet() bool
-	// Held returns for how long a request goes to no server, and why; 0 if it may.
+	// Held returns how much longer a request must not be sent to any server, and why; 0 if it
+	// may be sent.
 	Held(request poison.Fingerprint) (left clock.Millis, why string)
-	// Ended tells that a server ended while it ran a request.
+	// Ended records that a server exited while it ran a request.
 	Ended(request poison.Fingerprint, server ident.BackendName)
-	// Answered tells that a server answered a request.
+	// Answered records that a server answered a request.
 	Answered(request poison.Fingerprint)
 }
 
-// HeldFor returns for how long a call goes to no server; 0 if it may.
+// HeldFor returns how much longer a call must not be sent to any server; 0 if it may be sent.
 func (p *Proxy) HeldFor(r *Request) clock.Millis {
 	left, _ := p.held(r, &callState{})
 	return left
@@ -38,8 +39,8 @@
 	return p.Guard.Held(s.fingerprint(r))
 }
 
-// refuseIfHeld tells whether the call goes to no server any more. It is asked before each try:
-// the try before may have been the one that showed it.
+// refuseIfHeld reports whether the call must not be sent to another server, and logs the
+// refusal. It is called before each attempt, since the previous one may have led to the hold.
 func (p *Proxy) refuseIfHeld(r *Request, s *callState) bool {
 	left, why := p.held(r, s)
 	if left == 0 {
@@ -50,10 +51,10 @@
 	return true
 }
 
-// detectServerExit finds out whether a server ended while it ran a call that got no answer:
-// nobody listens at its address any more. An answer that was lost on the way, a cut
-// and a call that ran out of time leave no such trace; one that said it would leave
-// ended for its own reasons.
+// detectServerExit checks whether a server exited while it ran a call that got no answer, and
+// reports it to the guard and the metrics. The sign is that its address refuses connections,
+// which is not so after a lost answer, a network partition or a timeout. A server that is
+// listed as leaving is ignored.
 func (p *Proxy) detectServerExit(ctx context.Context, r *Request, s *callState, server *pool.Server, elapsed clock.Millis) {
 	if ctx.Err() != nil || server.Leaving() || !p.Client.ConnectionRefused(ctx, server.Address()) {
 		return
@@ -71,14 +72,15 @@
 	})
 }
 
-// reportAnswered tells that a server answered a call, if any call is suspected.
+// reportAnswered reports to the guard that a server answered a call, if any call is suspected.
 func (p *Proxy) reportAnswered(r *Request, s *callState) {
 	if p.Guard != nil && !p.Guard.Quiet() {
 		p.Guard.Answered(s.fingerprint(r))
 	}
 }
 
-// fingerprint returns what the call shares with others that ask for the same.
+// fingerprint returns the call's fingerprint, which equal calls of an organisation share. It
+// is computed on first use.
 func (s *callState) fingerprint(r *Request) poison.Fingerprint {
 	if s.cachedFingerprint == "" {
 		s.cachedFingerprint = poison.Subject{Organisation: r.Organisation, Host: r.Route.Host, Method: r.Method, Target: r.Target, Body: r.Body}.Fingerprint()
--- a/croftmoor/proxy/harm_test.go
+++ b/croftmoor/proxy/harm_test.go
@@ -17,7 +17,7 @@
 	"croftmoor.dev/kernel/poison"
 )
 
-// fakeGuard is a guard that notes what it is fakeGuard and holds what it is meant to.
+// fakeGuard records the calls of the guard's methods and holds requests while left is set.
 type fakeGuard struct {
 	mu       sync.Mutex
 	left     clock.Millis
@@ -48,8 +48,8 @@
 	g.answered++
 }
 
-// newBreakingBackend returns a server that breaks the connection of each request, and ends with
-// the first one if it is meant to.
+// newBreakingBackend returns a server that closes the connection of each request. If ends is
+// true, it stops listening at the first one.
 func newBreakingBackend(t *testing.T, name string, ends bool) *backend {
 	t.Helper()
 	b := &backend{}
@@ -81,7 +81,7 @@
 func wantKind(t *testing.T, err error, kind Kind) {
 	t.Helper()
 	if got := fault.KindOf[Kind](err); got != kind {
-		t.Errorf("the call ended with %v, want %s", err, kind)
+		t.Errorf("got error %v, want kind %s", err, kind)
 	}
 }
 
@@ -92,7 +92,7 @@
 		p.Guard = g
 		wantKind(t, call(t, p, "r", 1), Lost)
 		if want := ident.NewBackend("s", 7); len(g.ended) != 1 || g.ended[0].Server != want {
-			t.Errorf("told of %v, want one end of %v", g.ended, want)
+			t.Errorf("recorded ends %v, want one of %v", g.ended, want)
 		}
 	})
 	t.Run("a server that loses answers and lives on is not told of", func(t *testing.T) {
@@ -101,7 +101,7 @@
 		p.Guard = g
 		wantKind(t, call(t, p, "r", 1), Lost)
 		if len(g.ended) > 0 {
-			t.Errorf("told of %v, want nothing", g.ended)
+			t.Errorf("recorded ends %v, want none", g.ended)
 		}
 	})
 	t.Run("nor is one that had said it would leave", func(t *testing.T) {
@@ -115,7 +115,7 @@
 		p.Pool.Refresh()
 		p.detectServerExit(t.Context(), &Request{}, &callState{}, server, 0)
 		if len(g.ended) > 0 {
-			t.Errorf("told of %v, want nothing", g.ended)
+			t.Errorf("recorded ends %v, want none", g.ended)
 		}
 	})
 	t.Run("a call under which the last server that it may cost has ended goes to no other", func(t *testing.T) {
@@ -142,7 +142,7 @@
 		p.Guard = g
 		_ = call(t, p, "r", 1)
 		if g.answered != 1 {
-			t.Errorf("told of %d answers, want one", g.answered)
+			t.Errorf("recorded %d answers, want 1", g.answered)
 		}
 	})
 }
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy passes live calls on to the backend servers of a route: it
-// chooses the server, tries others where the route allows it, and returns the
-// whole answer of one server or says truly that the call has not run.
+// Package proxy sends live calls to the backend servers of a route. It picks the server,
+// retries at others where the route allows it, and returns the whole answer of one server or
+// an error whose kind says whether the call may have run.
 package proxy
 
 import (
@@ -26,15 +26,15 @@
 
 // Kinds of errors.
 const (
-	// NotRun means that the call has not run and never will.
+	// NotRun means that the call has not run and will not.
 	NotRun Kind = "NotRun"
-	// Late means that the time was up while a server may have worked on it.
+	// Late means that the deadline passed while a server may have been running the call.
 	Late Kind = "Late"
 	// Lost means that the call may have run and its answer is lost.
 	Lost Kind = "Lost"
-	// Harmful means that the call has not run, since servers ended under it before.
+	// Harmful means that the call has not run because servers exited while running equal ones.
 	Harmful Kind = "Harmful"
-	// Left means that the caller has gone.
+	// Left means that the caller has disconnected.
 	Left Kind = "Left"
 )
 
@@ -49,84 +49,82 @@
 	Target  string
 	Headers []httpc.Header
 	Body    []byte
-	// Organisation is whose call it is; empty if nobody's.
+	// Organisation is the caller's organisation; empty if it has none.
 	Organisation ident.Organisation
-	// Internal tells that the system itself makes the call. Where room is shared out, its calls
-	// share it as one more organisation: beside callers with more time they came last.
+	// Internal is true for calls of the system itself. Where capacity is shared, they have the
+	// share of one organisation.
 	Internal bool
-	// Priority is its rank, 0 first.
+	// Priority orders calls that wait for capacity; 0 is the highest.
 	Priority int
-	// Deadline is when the caller stops waiting, by the steady clock.
+	// Deadline is when the caller stops waiting, by the monotonic clock.
 	Deadline clock.Millis
 }
 
-// Verdict is what a server's answer means for the call.
+// Verdict is the meaning of a server's answer.
 type Verdict struct {
-	// NotRun tells that the server has not run the call.
+	// NotRun is true if the server has not run the call.
 	NotRun bool
-	// Failed tells that the server itself failed.
+	// Failed is true if the server itself failed.
 	Failed bool
-	// Load is what the server told of its load; it counts if HasLoad is set.
+	// Load is the load that the server reported with the answer, if HasLoad is true.
 	Load    pool.Report
 	HasLoad bool
 }
 
-// Protocol speaks to backend servers.
+// Protocol defines the headers of requests to backend servers and the meaning of answers.
 type Protocol interface {
-	// Headers returns the headers for one try at a server, with the time that is
-	// left to it.
+	// Headers returns the headers for one attempt at a server; left is the time until the
+	// call's deadline.
 	Headers(r *Request, server ident.BackendName, left clock.Millis) []httpc.Header
-	// Resume adds to the headers that the answer is to go on after an event.
+	// Resume adds the header that asks a server to continue a stream after the event lastID.
 	Resume(headers []httpc.Header, lastID string) []httpc.Header
-	// Own tells whether an answer belongs to the call.
+	// Own reports whether an answer belongs to the call.
 	Own(r *Request, a *httpc.Answer) bool
-	// Judge tells what an answer means.
+	// Judge returns the meaning of an answer.
 	Judge(a *httpc.Answer) Verdict
 }
 
-// Proxy passes calls on. Set the exported fields before use.
+// Proxy sends calls to backend servers. Set the exported fields before use.
 type Proxy struct {
 	Pool     *pool.Pool
 	Protocol Protocol
 	Client   *httpc.Client
 	Clock    *clock.Clock
 	Trail    *trail.Trail
-	// AttemptTimeout is how long a repeatable call waits for one server before it is
-	// tried at another.
+	// AttemptTimeout is how long a repeatable call waits for one server before it is retried at
+	// another.
 	AttemptTimeout clock.Millis
-	// Usage is told of calls of organisations that began to run; it may be nil.
+	// Usage counts the calls of organisations that servers may have started; it may be nil.
 	Usage Usage
 	// Metrics may be nil.
 	Metrics Metrics
 	// Guard may be nil.
 	Guard Guard
-	// Rooms lets calls in; nil lets all in.
+	// Rooms limits calls; nil means no limits.
 	Rooms Rooms
 }
 
-// Metrics counts what operators watch.
+// Metrics counts events for operators.
 type Metrics interface {
-	// ServerEnded counts a server of a service that ended while it ran a call.
+	// ServerEnded counts a server of a service that exited while it ran a call.
 	ServerEnded(service ident.Service)
 }
 
-// Usage counts what organisations use.
+// Usage counts calls per organisation.
 type Usage interface {
-	// Began counts a call that a server began at a time of the steady clock.
+	// Began counts a call; at is when it was sent to the server, by the monotonic clock.
 	Began(organisation ident.Organisation, at clock.Millis)
 }
 
-// minTimeToSend is the time below which a call is not sent any more: the server
-// could not answer in it.
+// minTimeToSend is the minimum time to the deadline for a call to be sent to a server.
 const minTimeToSend = 5 * clock.Millis(1)
 
-// maxUnreached is how many servers that took no byte of a call are not counted among its
-// attempts. Servers that ended stay listed for 2 to 3 s; when three of four had, calls
-// with two attempts were refused 10 times in 20 beside an idle server. Each costs a round
-// trip, some 2 ms; beyond these the service is more likely gone as a whole.
+// maxUnreached is how many servers that received no byte of a call are not counted among its
+// attempts. Servers that have exited stay listed for a few seconds, and without this they
+// would use up the attempts of a call. More of them mean that the service is down.
 const maxUnreached = 4
 
-// Do carries a call to its end.
+// Do sends a call and returns the whole answer of one server. Errors are of type Error.
 func (p *Proxy) Do(ctx context.Context, r Request) (*httpc.Answer, error) {
 	if r.Route.Timeout > 0 {
 		r.Deadline = min(r.Deadline, p.Clock.Mono()+r.Route.Timeout)
@@ -163,31 +161,32 @@
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// callState is how far a call has got.
+// callState is the progress of a call.
 type callState struct {
 	service ident.Service
-	// attempts counts the servers that were chosen, vain those of them that no byte of the
-	// call was sent to.
+	// attempts counts the servers that were picked, unreached those of them that received no
+	// byte of the call, up to maxUnreached.
 	attempts  int
 	unreached int
 	tried     []ident.BackendName
-	// mayHaveRun tells that a server may have run the call, answered that one certainly did;
-	// began is when the call was last sent to one that did.
+	// mayHaveRun is true if a server may have run the call, answered if one has run it. sentAt
+	// is when the call was sent to the last server that answered it, or else to the last that
+	// may have run it, by the monotonic clock.
 	mayHaveRun bool
 	answered   bool
 	sentAt     clock.Millis
 	lastErr    error
-	// cachedFingerprint is the call's fingerprint, if it was needed; held that the call goes to no
-	// server any more.
+	// cachedFingerprint is empty until fingerprint is called. held is true if the call must not
+	// be sent to another server.
 	cachedFingerprint poison.Fingerprint
 	held              bool
-	// admitted tells that the call was let in to the service's admitted room; costly that
-	// another try at a server comes out of the budget.
+	// admitted is true if Rooms let the call in. usesRetryBudget is true if another attempt is
+	// taken from the retry budget.
 	admitted        bool
 	usesRetryBudget bool
 }
 
-// hasAttempts tells whether the call may go to one more server.
+// hasAttempts reports whether the call may be sent to one more server.
 func (s *callState) hasAttempts(route paths.Route) bool {
 	return s.attempts-s.unreached < max(route.MaxAttempts, 1)
 }
@@ -214,15 +213,16 @@
 	return server
 }
 
-// recordUsage tells the meter of a call that a server began. A call counts once, however
-// many servers it came to: callers see one.
+// recordUsage counts a call that a server may have run. A call counts once, however many
+// servers it was sent to.
 func (p *Proxy) recordUsage(r Request, s *callState) {
 	if p.Usage != nil && r.Organisation != "" && (s.mayHaveRun || s.answered) {
 		p.Usage.Began(r.Organisation, s.sentAt)
 	}
 }
 
-// slots returns how many requests a server of the service runs at once.
+// slots returns how many requests a server of the service runs at once, according to the
+// first listed server that has a number; 1 if none has.
 func (p *Proxy) slots(service ident.Service) int {
 	for _, m := range p.Pool.Fleet.View().Backends[service] {
 		if m.Slots > 0 {
@@ -232,7 +232,8 @@
 	return 1
 }
 
-// try sends the call to one server. It reports whether another may be tried.
+// try sends the call to one server. Without an answer, it reports whether the call may be
+// retried at another.
 func (p *Proxy) try(ctx context.Context, r Request, server *pool.Server, s *callState) (answer *httpc.Answer, retry bool) {
 	repeatable := r.Route.Kind == paths.Repeatable
 	left := r.Deadline - p.Clock.Mono()
@@ -243,7 +244,8 @@
 	tryCtx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	if repeatable {
-		// A call that may not be repeated is waited for: it may have reached the new start.
+		// A call that must not be repeated keeps waiting: it may have reached the restarted
+		// server.
 		defer server.OnRestart(cancel)()
 	}
 	call := &httpc.Call{
@@ -284,7 +286,7 @@
 	return answer, false
 }
 
-// recordAnswer notes a server's answer to a call that was sent to it at a time.
+// recordAnswer records a server's answer to a call that was sent at the time at.
 func (p *Proxy) recordAnswer(r *Request, s *callState, v Verdict, at clock.Millis) {
 	if v.NotRun {
 		return
@@ -293,7 +295,7 @@
 	p.reportAnswered(r, s)
 }
 
-// recordNoAnswer notes a call without an answer.
+// recordNoAnswer records an attempt without an answer that was sent at the time at.
 func (s *callState) recordNoAnswer(err error, at clock.Millis) {
 	if fault.KindOf[httpc.Kind](err) == httpc.NotSent {
 		s.unreached = min(s.unreached+1, maxUnreached)
@@ -311,7 +313,8 @@
 	}
 }
 
-// recordFailedAttempt notes a try without an answer, and reports whether another may follow.
+// recordFailedAttempt records an attempt without an answer at its server and in the decision
+// log. It reports whether the call may be retried.
 func (p *Proxy) recordFailedAttempt(ctx context.Context, r Request, server *pool.Server, s *callState, repeatable bool, err error) bool {
 	s.lastErr = err
 	sent := fault.KindOf[httpc.Kind](err) != httpc.NotSent
--- a/croftmoor/proxy/proxy_test.go
+++ b/croftmoor/proxy/proxy_test.go
@@ -19,7 +19,7 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// plainProtocol takes each answer for the call's own, and 500 for a failure.
+// plainProtocol accepts every answer as the call's own, and treats status 500 as a failure.
 type plainProtocol struct{}
 
 func (plainProtocol) Headers(*Request, ident.BackendName, clock.Millis) []httpc.Header { return nil }
@@ -29,7 +29,7 @@
 	return Verdict{Failed: a.Status == http.StatusInternalServerError}
 }
 
-// backend answers with a status and counts its calls.
+// backend is a server that answers with a fixed status and counts its calls.
 type backend struct {
 	member fleet.Member
 	calls  atomic.Int64
--- a/croftmoor/proxy/room.go
+++ b/croftmoor/proxy/room.go
@@ -13,25 +13,28 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// Rooms shares out how much of a service this instance may use.
+// Rooms limits the calls that this instance sends to a service, and shares the capacity among
+// organisations.
 type Rooms interface {
-	// Shared tells whether a service's room is shared out.
+	// Shared reports whether calls to a service are limited.
 	Shared(service ident.Service) bool
-	// Enter waits for a call's turn; leave is called once it has ended. A refusal tells
-	// when to come back.
+	// Enter waits until a call may start; leave must be called once when it has ended. On
+	// refusal, decision.RetryAfter is when the caller should retry.
 	Enter(ctx context.Context, service ident.Service, ask admit.Request) (leave func(), decision admit.Decision, err error)
-	// Note learns from a server's answer.
+	// Note adjusts a service's limit to a server's answer.
 	Note(service ident.Service, s admit.Signal)
-	// TryAgain tells whether a call may be tried at one more server.
+	// TryAgain takes one further attempt of a call from the service's retry budget. It reports
+	// false if the budget is used up.
 	TryAgain(service ident.Service) bool
-	// ComeBack returns when a caller should come back whose call found the servers full.
+	// ComeBack returns after how long an organisation should retry a call that found all
+	// servers full.
 	ComeBack(service ident.Service, by ident.Organisation) clock.Millis
 }
 
-// internalCalls shares room for the system's own calls; no organisation has such a name.
+// internalCalls is the share of the system's own calls; no organisation has this name.
 const internalCalls = ident.Organisation("\x00own")
 
-// shareOwner returns which organisation's share of the room the call takes.
+// shareOwner returns the organisation whose share of the capacity the call uses.
 func (r *Request) shareOwner() ident.Organisation {
 	if r.Internal {
 		return internalCalls
@@ -39,7 +42,7 @@
 	return r.Organisation
 }
 
-// enter waits for the call's turn at its service. What is refused has not run.
+// enter waits until the call may start at its service. A refused call has not run.
 func (p *Proxy) enter(ctx context.Context, r Request, s *callState) (leave func(), err error) {
 	if p.Rooms == nil || !p.Rooms.Shared(s.service) {
 		return func() {}, nil
@@ -70,14 +73,14 @@
 	return nil, refused
 }
 
-// mayRetry tells whether the call may go to a server: first tries always may, further ones
-// come out of a budget, since each of them asks servers that are full already. 48,424 of
-// 65,787 arrivals were shed when callers asked for up to five times what the servers do.
+// mayRetry reports whether the call may be sent to a server. First attempts always may.
+// Further ones are taken from a retry budget if servers refused the call or may have run it,
+// since retries add load to servers that may be full.
 func (p *Proxy) mayRetry(s *callState) bool {
 	return !s.usesRetryBudget || !s.admitted || p.Rooms.TryAgain(s.service)
 }
 
-// observeRoom tells what an answer says of the room at its server.
+// observeRoom reports to Rooms what an answer says about its server's free capacity.
 func (p *Proxy) observeRoom(r Request, s *callState, server ident.BackendName, a *httpc.Answer, v Verdict, latency clock.Millis) {
 	if !s.admitted {
 		return
--- a/croftmoor/proxy/stream.go
+++ b/croftmoor/proxy/stream.go
@@ -16,30 +16,31 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// Sink takes the answer of a stream for the caller.
+// Sink receives the answer of a stream for the caller.
 type Sink interface {
-	// Head takes status and headers; it is called once, before any event.
+	// Head receives status and headers; it is called once, before any event.
 	Head(status int, headers []httpc.Header)
-	// Event takes one whole event and passes it on at once.
+	// Event receives one whole event, or the whole body if the status is not 200. It must
+	// forward raw before it returns, since the buffer is reused.
 	Event(raw []byte) error
 }
 
-// Broke means that a stream ended in its middle, after events were passed on.
+// Broke means that a stream ended early, after its head was passed on.
 const Broke Kind = "Broke"
 
 const (
-	// streamIdleTimeout is how long a stream that may be continued elsewhere may be
-	// silent: callers give up after two seconds at the earliest.
+	// streamIdleTimeout is the maximum time between events of a resumable stream. It is below
+	// the 2 s after which callers give up at the earliest.
 	streamIdleTimeout = 1 * clock.Second
-	// maxEventBytes bounds one event.
+	// maxEventBytes is the maximum size of an event.
 	maxEventBytes = 1 << 20
-	// maxBodyBytes bounds the body of an answer that is no stream.
+	// maxBodyBytes is the size at which the body of an answer that is not a stream is cut off.
 	maxBodyBytes = 64 << 20
 )
 
-// Stream carries a call that is answered in events. A stream that may be
-// resumed goes on at another server within the same answer; the caller sees the
-// head of the first one.
+// Stream sends a call whose answer is a stream of events and passes the answer to sink. A
+// resumable stream continues at another server after a failure; the caller sees only the head
+// of the first answer. An error of kind Broke means that sink has got a part of the answer.
 func (p *Proxy) Stream(ctx context.Context, r Request, sink Sink) error {
 	if r.Route.Timeout > 0 {
 		r.Deadline = min(r.Deadline, p.Clock.Mono()+r.Route.Timeout)
@@ -71,17 +72,16 @@
 	return p.giveUp(ctx, r, &f.callState)
 }
 
-// streamState is how far a stream has got.
+// streamState is the progress of a stream.
 type streamState struct {
 	callState
 	sink     Sink
 	headSent bool
-	// lastID is the id of the last event that was passed on.
+	// lastID is the ID of the last event that was passed on.
 	lastID string
 }
 
-// flow passes one server's part of a stream on. It reports whether the stream
-// has come to its proper end.
+// flow passes on the events of one server. It reports whether the stream is complete.
 func (p *Proxy) flow(ctx context.Context, r Request, server *pool.Server, f *streamState) (bool, error) {
 	began := p.Clock.Mono()
 	complete := false
@@ -147,8 +147,8 @@
 	}
 }
 
-// copyEvents passes copyEvents on, each only once it is whole: a server may stop in the
-// middle of one.
+// copyEvents passes on the events of a stream. cancel is called if a resumable stream is idle
+// for streamIdleTimeout.
 func (p *Proxy) copyEvents(r Request, stream *httpc.Stream, f *streamState, cancel context.CancelFunc) error {
 	if r.Route.Resumable {
 		idleTimer := p.Clock.AfterFunc(streamIdleTimeout, cancel)
@@ -158,6 +158,8 @@
 	return pump(stream, f, func() {})
 }
 
+// pump passes on each event once it is complete, since a server may stop in the middle of
+// one. onEvent is called for each event.
 func pump(stream *httpc.Stream, f *streamState, onEvent func()) error {
 	var event bytes.Buffer
 	id := ""
--- a/croftmoor/proxy/vain_test.go
+++ b/croftmoor/proxy/vain_test.go
@@ -10,7 +10,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// newEndedBackend returns a server that is listed and has ended: nobody listens at its address.
+// newEndedBackend returns a server that is listed although its address refuses connections.
 func newEndedBackend(t *testing.T, name string) *backend {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -24,14 +24,14 @@
 	return b
 }
 
-// Three of four servers have ended and stay listed for 2 to 3 s. Calls that may go to two
-// servers were refused when they met two of the three, though the fourth stood idle.
+// Guards against calls refused beside an idle server because servers that have exited but are
+// still listed used up their attempts.
 func TestServersThatEndedUseNoAttempt(t *testing.T) {
 	good := newBackend(t, "good", http.StatusOK)
 	const calls = 20
 	served := 0
 	for n := range calls {
-		// A new proxy each time: one that knows the servers has left those that ended.
+		// A new proxy each time, since a proxy ejects servers that refuse connections.
 		p := newProxy(newEndedBackend(t, "a"), newEndedBackend(t, "b"), newEndedBackend(t, "c"), good)
 		if call(t, p, "r"+strconv.Itoa(n), 2) == nil {
 			served++
