--- a/croftmoor/pool/pool.go
+++ b/croftmoor/pool/pool.go
@@ -67,7 +67,7 @@
 	meanLatency float64
 	// speed is the estimated rate of a sequence that runs alone, in tokens per second.
 	speed    float64
-	observed map[ident.Trainer]observedVersion
+	observed map[ident.Trainer]versionObservation
 	// lifetime is cancelled when the server has restarted, under another name.
 	lifetime    context.Context
 	endLifetime context.CancelFunc
@@ -239,7 +239,7 @@
 		}
 	}
 	normalizeSpeeds(candidates)
-	request := route.Request{ID: q.ID, Zone: p.Zone, Work: meanLatency(usable), ZoneLatency: p.ZoneLatency, Live: q.Live, LiveOnly: q.LiveOnly}
+	request := route.Request{ID: q.ID, Zone: p.Zone, Work: expectedWork(usable), ZoneLatency: p.ZoneLatency, Live: q.Live, LiveOnly: q.LiveOnly}
 	choice := policy.Pick(request, candidates, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	if choice.Index < 0 {
 		return nil, "", choice.Reason
@@ -328,8 +328,9 @@
 	}
 }
 
-// meanLatency returns the mean request latency over the servers that have one.
-func meanLatency(servers []*Server) clock.Millis {
+// expectedWork returns the mean request latency over the servers that have one, or
+// defaultLatency.
+func expectedWork(servers []*Server) clock.Millis {
 	sum, n := 0.0, 0.0
 	for _, s := range servers {
 		s.mu.Lock()
--- a/croftmoor/pool/server.go
+++ b/croftmoor/pool/server.go
@@ -10,8 +10,8 @@
 	"croftmoor.dev/kernel/route"
 )
 
-// observedVersion is the last weights version that a server reported in a stream.
-type observedVersion struct {
+// versionObservation is the last weights version that a server reported in a stream.
+type versionObservation struct {
 	version ident.Version
 	at      clock.Millis
 	// mismatchAt is when RecordVersion last returned true.
@@ -183,14 +183,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.observed == nil {
-		s.observed = map[ident.Trainer]observedVersion{}
+		s.observed = map[ident.Trainer]versionObservation{}
 	}
 	mismatchAt := s.observed[trainer].mismatchAt
 	mismatch = s.report.Versions[trainer] > version && now-mismatchAt >= clock.Second
 	if mismatch {
 		mismatchAt = now
 	}
-	s.observed[trainer] = observedVersion{version: version, at: now, mismatchAt: mismatchAt}
+	s.observed[trainer] = versionObservation{version: version, at: now, mismatchAt: mismatchAt}
 	return mismatch
 }
 
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -191,6 +191,8 @@
 	return s.attempts-s.unreached < max(route.MaxAttempts, 1)
 }
 
+// pick chooses a server that was not tried, and logs the choice. It returns nil if there is
+// none.
 func (p *Proxy) pick(r Request, s *callState) *pool.Server {
 	query := pool.Query{
 		ID: r.ID, Exclude: s.tried, Live: true, LiveOnly: s.admitted,
@@ -307,6 +309,7 @@
 	}
 }
 
+// recordLoad passes the load that a server reported with an answer to the pool.
 func (p *Proxy) recordLoad(server *pool.Server, v Verdict) {
 	if v.HasLoad {
 		server.RecordLoad(v.Load, p.Clock.Mono())
@@ -328,6 +331,7 @@
 	return repeatable || !sent
 }
 
+// logDecision adds a decision about a server to the decision log.
 func (p *Proxy) logDecision(r Request, action trail.Action, server *pool.Server, reason string) {
 	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: action, Choice: string(server.Name), Reason: reason})
 }
