--- a/croftmoor/pool/follow.go
+++ b/croftmoor/pool/follow.go
@@ -7,27 +7,27 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// Follow takes over the fleet's view, if it is a new one.
-func (p *Pool) Follow() {
+// Refresh applies the fleet's current view to the server lists if it has changed.
+func (p *Pool) Refresh() {
 	view := p.Fleet.View()
-	if view == p.followed {
+	if view == p.lastView {
 		return
 	}
-	p.followed = view
+	p.lastView = view
 	for service, members := range view.Backends {
-		p.update(service, p.subset(members))
+		p.setMembers(service, p.subset(members))
 	}
 	p.services.Range(func(key, _ any) bool {
 		service, _ := key.(ident.Service)
 		if _, listed := view.Backends[service]; !listed {
-			p.update(service, nil)
+			p.setMembers(service, nil)
 		}
 		return true
 	})
 }
 
-// subset returns the members that this instance uses: those of its own zone
-// first, by rendezvous hashing, so that instances spread over the servers.
+// subset returns the members that this instance uses: those of its own availability zone
+// first, then by rendezvous hashing, which spreads the instances over the servers.
 func (p *Pool) subset(members []fleet.Member) []fleet.Member {
 	if p.Subset <= 0 || len(members) <= p.Subset {
 		return members
@@ -48,10 +48,11 @@
 	return ranked[:p.Subset]
 }
 
-func (p *Pool) update(service ident.Service, members []fleet.Member) {
-	s := p.set(service)
+// setMembers replaces the server list of a service and keeps the state of known servers.
+func (p *Pool) setMembers(service ident.Service, members []fleet.Member) {
+	s := p.serverSet(service)
 	old := *s.list.Load()
-	// By name: a search for each of 3,000 servers took 10 of the 18 ms of one change.
+	// Indexed by name because a linear search per member is slow for large services.
 	known := make(map[ident.BackendName]*Server, len(old))
 	for _, server := range old {
 		known[server.Name] = server
@@ -62,28 +63,28 @@
 		if server == nil {
 			server = newServer(ident.BackendName(m.Name), service, m.Zone)
 		}
-		server.place(m)
+		server.setMember(m)
 		fresh = append(fresh, server)
 	}
 	s.list.Store(&fresh)
-	p.replaceStarts(old, fresh)
+	p.endRestarted(old, fresh)
 }
 
-// replaceStarts ends what runs at servers that have started again: it is lost there, and
-// its silence would be waited for.
-func (p *Pool) replaceStarts(old, fresh []*Server) {
-	now := make(map[string]*Server, len(fresh))
+// endRestarted ends the lifetime of servers that have restarted. Their requests are lost,
+// and callers would otherwise wait for answers until a timeout.
+func (p *Pool) endRestarted(old, fresh []*Server) {
+	current := make(map[string]*Server, len(fresh))
 	for _, server := range fresh {
-		now[server.Name.ListName()] = server
+		current[server.Name.ListName()] = server
 	}
 	for _, server := range old {
-		next := now[server.Name.ListName()]
+		next := current[server.Name.ListName()]
 		if next == nil || next == server {
 			continue
 		}
 		if p.Restarted != nil {
 			p.Restarted(server.Address())
 		}
-		server.end()
+		server.endLifetime()
 	}
 }
--- a/croftmoor/pool/pool_bench_test.go
+++ b/croftmoor/pool/pool_bench_test.go
@@ -16,7 +16,7 @@
 
 func (noReports) Load(context.Context, ident.Address) (Report, error) { return Report{}, nil }
 
-// poolOf makes a pool that uses some of many listed engines.
+// poolOf returns a pool that uses subset of the listed engines.
 func poolOf(listed, subset int) *Pool {
 	table := &fleet.Table{Clock: clock.New()}
 	members := make([]fleet.Member, 0, listed)
@@ -30,7 +30,7 @@
 	p := &Pool{
 		Fleet: table, Reporter: noReports{}, Clock: clock.New(), Self: "a-1", Zone: "zone-1", Subset: subset,
 	}
-	p.Follow()
+	p.Refresh()
 	return p
 }
 
@@ -52,8 +52,8 @@
 	p := poolOf(4000, 32)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.followed = nil
-		p.Follow()
+		p.lastView = nil
+		p.Refresh()
 	}
 }
 
@@ -70,7 +70,7 @@
 		assertUsed(t, p, 32)
 		for _, s := range p.Servers("model") {
 			if s.Zone != "zone-1" {
-				t.Fatalf("a server of %s although its own zone has enough", s.Zone)
+				t.Fatalf("got a server of %s, though zone-1 has enough", s.Zone)
 			}
 		}
 	})
@@ -79,12 +79,12 @@
 	})
 	t.Run("others' load is taken at the report's moment", func(t *testing.T) {
 		s := &Server{}
-		s.past.note(100, 4)
-		s.past.note(200, 1)
+		s.ownHistory.record(100, 4)
+		s.ownHistory.record(200, 1)
 		s.own = 1
 		s.setReport(Report{Running: 4, At: 150}, 1)
-		if got := s.believedLoad(); got != 1 {
-			t.Fatalf("believed load %d, want only the own request", got)
+		if got := s.estimatedLoad(); got != 1 {
+			t.Fatalf("estimated load %d, want 1", got)
 		}
 	})
 }
--- a/croftmoor/pool/server.go
+++ b/croftmoor/pool/server.go
@@ -10,58 +10,58 @@
 	"croftmoor.dev/kernel/route"
 )
 
-// sighting is a version that a stream named.
-type sighting struct {
+// versionObservation is the last weights version that a server reported in a stream.
+type versionObservation struct {
 	version ident.Version
 	at      clock.Millis
-	// told is when the mismatch with the load report was last told.
-	told clock.Millis
+	// mismatchAt is when RecordVersion last returned true.
+	mismatchAt clock.Millis
 }
 
-// sightingTerm is how much older than the newest report a sighting may be and
-// still count for more.
-const sightingTerm = 1 * clock.Second
+// observedGrace is how much older than the last load report an observed version may be and
+// still take precedence over it.
+const observedGrace = 1 * clock.Second
 
 func newServer(name ident.BackendName, service ident.Service, zone ident.Zone) *Server {
 	s := &Server{Name: name, Service: service, Zone: zone}
-	s.over, s.end = context.WithCancel(context.Background())
+	s.lifetime, s.endLifetime = context.WithCancel(context.Background())
 	return s
 }
 
-// Paced tells whether the server says how long work takes there now: it shares its
-// machine, so that what it can do is never known for long.
-func (s *Server) Paced() bool {
+// ReportsSlowdown reports whether the server reports its current slowdown. Such a server
+// shares its machine, so estimates of its capacity go stale quickly.
+func (s *Server) ReportsSlowdown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.report.Pace > 0
+	return s.report.Slowdown > 0
 }
 
-// OnRestart has do called once when the server is known to have started again: what it
-// ran is lost then. Stop takes that back.
-func (s *Server) OnRestart(do func()) (stop func() bool) { return context.AfterFunc(s.over, do) }
+// OnRestart calls do once, in its own goroutine, when the server is known to have restarted
+// and its requests are lost. stop cancels the call.
+func (s *Server) OnRestart(do func()) (stop func() bool) { return context.AfterFunc(s.lifetime, do) }
 
-// Address returns where the server is.
+// Address returns the server's network address.
 func (s *Server) Address() ident.Address {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// Slots returns how many requests the server runs at once, as the list says.
+// Slots returns how many requests the server runs at once, according to the fleet's list.
 func (s *Server) Slots() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.slots
 }
 
-// Leaving tells whether the list says that the server is about to end.
+// Leaving reports whether the server is listed as leaving.
 func (s *Server) Leaving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leaving
 }
 
-func (s *Server) place(m fleet.Member) {
+func (s *Server) setMember(m fleet.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.address = m.Address
@@ -73,22 +73,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report = report
-	s.received = now
-	s.ownThen = s.past.at(report.At, s.own)
+	s.reportReceived = now
+	s.ownAtReport = s.ownHistory.at(report.At, s.own)
 }
 
-// NoteLoad takes over the load that the server told with an answer.
-func (s *Server) NoteLoad(report Report, now clock.Millis) {
+// RecordLoad records the load that the server reported with an answer. Versions and Cached
+// are kept from the last polled report. now is by the monotonic clock.
+func (s *Server) RecordLoad(report Report, now clock.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	report.Versions, report.Cached = s.report.Versions, s.report.Cached
 	s.report = report
-	s.received = now
-	s.ownThen = s.own
+	s.reportReceived = now
+	s.ownAtReport = s.own
 }
 
-// candidate describes the server to a policy; it reports false if the server
-// can't take the request at all.
+// candidate describes the server to a policy. It reports false if the server cannot take
+// the request.
 func (s *Server) candidate(q Query, now clock.Millis) (route.Candidate, bool) {
 	weight := s.Breaker.Weight(now)
 	s.mu.Lock()
@@ -96,16 +97,16 @@
 	if s.leaving || weight <= 0 {
 		return route.Candidate{}, false
 	}
-	if q.Least > 0 && s.believedVersion(q.Trainer) < q.Least {
+	if q.MinVersion > 0 && s.estimatedVersion(q.Trainer) < q.MinVersion {
 		return route.Candidate{}, false
 	}
-	if q.Most > 0 && s.believedLoad() >= q.Most {
+	if q.MaxLoad > 0 && s.estimatedLoad() >= q.MaxLoad {
 		return route.Candidate{}, false
 	}
 	c := route.Candidate{
 		Name: s.Name, Zone: s.Zone, Own: s.own, OwnLive: s.ownLive, Slots: q.Service.Slots, Weight: weight,
-		Reported: s.report.Running + s.report.Waiting, OwnAtReport: s.ownThen,
-		ReportAge: now - s.received, HasReport: s.received > 0, Slowdown: s.report.Pace, Speed: s.speed,
+		Reported: s.report.Running + s.report.Waiting, OwnAtReport: s.ownAtReport,
+		ReportAge: now - s.reportReceived, HasReport: s.reportReceived > 0, Slowdown: s.report.Slowdown, Speed: s.speed,
 	}
 	if slices.Contains(s.report.Cached, q.Family) {
 		c.Cached = 1
@@ -113,9 +114,10 @@
 	return c, true
 }
 
-// believedLoad is the own load and what others had at the last report; mu is held.
-func (s *Server) believedLoad() int {
-	return s.own + max(s.report.Running+s.report.Waiting-s.ownThen, 0)
+// estimatedLoad returns this instance's requests plus those of others at the last report.
+// mu must be held.
+func (s *Server) estimatedLoad() int {
+	return s.own + max(s.report.Running+s.report.Waiting-s.ownAtReport, 0)
 }
 
 func (s *Server) acquire(live bool, wall clock.Millis) {
@@ -125,24 +127,24 @@
 	if live {
 		s.ownLive++
 	}
-	s.past.note(wall, s.own)
+	s.ownHistory.record(wall, s.own)
 }
 
-// Release ends a request at the server. Live is as it was in the query, and
-// took is the request's time if it succeeded.
-func (s *Server) Release(c *clock.Clock, live bool, took clock.Millis, ok bool) {
+// Release ends a request that Pick or Acquire counted at the server. live must be the same
+// as there. latency counts only if ok is true.
+func (s *Server) Release(c *clock.Clock, live bool, latency clock.Millis, ok bool) {
 	now := c.Mono()
 	s.mu.Lock()
 	s.own--
 	if live {
 		s.ownLive--
 	}
-	s.past.note(c.Now(), s.own)
+	s.ownHistory.record(c.Now(), s.own)
 	if ok {
-		if s.work == 0 {
-			s.work = float64(took)
+		if s.meanLatency == 0 {
+			s.meanLatency = float64(latency)
 		}
-		s.work = s.work*(1-workBlend) + float64(took)*workBlend
+		s.meanLatency = s.meanLatency*(1-latencyWeight) + float64(latency)*latencyWeight
 	}
 	s.mu.Unlock()
 	if ok {
@@ -150,93 +152,93 @@
 	}
 }
 
-// Status is a server's state for operators.
+// Status is a snapshot of a server's state for operators.
 type Status struct {
-	Name     ident.BackendName
-	Service  ident.Service
-	Zone     ident.Zone
-	Address  ident.Address
-	Leaving  bool
-	Weight   float64
-	Own      int
-	Believed int
-	Report   Report
-}
-
-// Status returns the state at now.
+	Name          ident.BackendName
+	Service       ident.Service
+	Zone          ident.Zone
+	Address       ident.Address
+	Leaving       bool
+	Weight        float64
+	Own           int
+	EstimatedLoad int
+	Report        Report
+}
+
+// Status returns the server's state; now is by the monotonic clock.
 func (s *Server) Status(now clock.Millis) Status {
 	weight := s.Breaker.Weight(now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Status{
 		Name: s.Name, Service: s.Service, Zone: s.Zone, Address: s.address, Leaving: s.leaving,
-		Weight: weight, Own: s.own, Believed: s.believedLoad(), Report: s.report,
+		Weight: weight, Own: s.own, EstimatedLoad: s.estimatedLoad(), Report: s.report,
 	}
 }
 
-// NoteVersion notes the version that a stream of the server named. Streams are
-// believed over load reports, which can be late or wrong. It reports whether the
-// load report says a newer version and this was not told within a second.
-func (s *Server) NoteVersion(trainer ident.Trainer, version ident.Version, now clock.Millis) (lies bool) {
+// RecordVersion records the version that the server reported in a stream. It takes
+// precedence over load reports, which can be late or wrong. It returns true if the load
+// report has a newer version, at most once per second and trainer.
+func (s *Server) RecordVersion(trainer ident.Trainer, version ident.Version, now clock.Millis) (mismatch bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen == nil {
-		s.seen = map[ident.Trainer]sighting{}
+	if s.observed == nil {
+		s.observed = map[ident.Trainer]versionObservation{}
 	}
-	told := s.seen[trainer].told
-	lies = s.report.Versions[trainer] > version && now-told >= clock.Second
-	if lies {
-		told = now
+	mismatchAt := s.observed[trainer].mismatchAt
+	mismatch = s.report.Versions[trainer] > version && now-mismatchAt >= clock.Second
+	if mismatch {
+		mismatchAt = now
 	}
-	s.seen[trainer] = sighting{version: version, at: now, told: told}
-	return lies
+	s.observed[trainer] = versionObservation{version: version, at: now, mismatchAt: mismatchAt}
+	return mismatch
 }
 
-// speedBlend weighs a new observation of the speed against the mean so far.
-const speedBlend = 0.25
+// speedWeight is the weight of a new observation in the moving average of the speed.
+const speedWeight = 0.25
 
-// NoteSpeed notes that a sequence got so many tokens in a span. What it would
-// have got alone is inferred from the load, since batching shares the engine.
-func (s *Server) NoteSpeed(tokens ident.Tokens, span clock.Millis, slots int) {
+// RecordSpeed records that a sequence received tokens within span. Sequences in a batch
+// share the engine, so the speed of a sequence alone is estimated from the load.
+func (s *Server) RecordSpeed(tokens ident.Tokens, span clock.Millis, slots int) {
 	if span <= 0 || tokens <= 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := 1 + float64(s.believedLoad())/float64(max(slots, 1))
+	share := 1 + float64(s.estimatedLoad())/float64(max(slots, 1))
 	alone := float64(tokens) / span.Duration().Seconds() * share
 	if s.speed == 0 {
 		s.speed = alone
 	}
-	s.speed = s.speed*(1-speedBlend) + alone*speedBlend
+	s.speed = s.speed*(1-speedWeight) + alone*speedWeight
 }
 
-// Rate returns the tokens a second that one more sequence is expected to get;
-// 0 if nothing is known.
+// Rate returns the expected rate of one more sequence in tokens per second, or 0 if
+// unknown.
 func (s *Server) Rate(slots int) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.speed / (1 + float64(s.believedLoad()+1)/float64(max(slots, 1)))
+	return s.speed / (1 + float64(s.estimatedLoad()+1)/float64(max(slots, 1)))
 }
 
-// Version returns the version of a trainer's weights that the server is
-// believed to run.
+// Version returns the estimated version of a trainer's weights at the server.
 func (s *Server) Version(trainer ident.Trainer) ident.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.believedVersion(trainer)
+	return s.estimatedVersion(trainer)
 }
 
-// believedVersion prefers what a stream showed to an older report; mu is held.
-func (s *Server) believedVersion(trainer ident.Trainer) ident.Version {
-	seen, ok := s.seen[trainer]
-	if ok && seen.at >= s.received-sightingTerm {
-		return seen.version
+// estimatedVersion returns the version observed in a stream if it is recent enough, else
+// the one of the last load report. mu must be held.
+func (s *Server) estimatedVersion(trainer ident.Trainer) ident.Version {
+	last, ok := s.observed[trainer]
+	if ok && last.at >= s.reportReceived-observedGrace {
+		return last.version
 	}
 	return s.report.Versions[trainer]
 }
 
-// Usable tells whether the server may get new work.
+// Usable reports whether the server may receive new requests.
 func (s *Server) Usable(now clock.Millis) bool {
 	weight := s.Breaker.Weight(now)
 	s.mu.Lock()
--- a/croftmoor/proxy/ended.go
+++ b/croftmoor/proxy/ended.go
@@ -11,36 +11,37 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// Guard knows the requests that end the servers that run them, as far as any instance
-// has seen. What a caller sends again has a new id each time, and comes to any
-// instance, so that nothing that one attempt or one instance remembers can stop it.
+// Guard tracks requests that crash the servers that run them, as seen by all instances.
+// Callers resend such a request with a new ID and to any instance, so it is identified by its
+// fingerprint.
 type Guard interface {
-	// Quiet tells that no request is suspected, so that none needs to be looked up.
+	// Quiet reports whether no request is suspected, in which case no look-up is needed.
 	Quiet() bool
-	// Held returns for how long a request goes to no server, and why; 0 if it may.
+	// Held returns how much longer a request must not be sent to any server, and why; 0 if it
+	// may be sent.
 	Held(request poison.Fingerprint) (left clock.Millis, why string)
-	// Ended tells that a server ended while it ran a request.
+	// Ended records that a server exited while it ran a request.
 	Ended(request poison.Fingerprint, server ident.BackendName)
-	// Answered tells that a server answered a request.
+	// Answered records that a server answered a request.
 	Answered(request poison.Fingerprint)
 }
 
-// HeldFor returns for how long a call goes to no server; 0 if it may.
+// HeldFor returns how much longer a call must not be sent to any server; 0 if it may be sent.
 func (p *Proxy) HeldFor(r *Request) clock.Millis {
-	left, _ := p.held(r, &state{})
+	left, _ := p.held(r, &callState{})
 	return left
 }
 
-func (p *Proxy) held(r *Request, s *state) (left clock.Millis, why string) {
+func (p *Proxy) held(r *Request, s *callState) (left clock.Millis, why string) {
 	if p.Guard == nil || p.Guard.Quiet() {
 		return 0, ""
 	}
 	return p.Guard.Held(s.fingerprint(r))
 }
 
-// holds tells whether the call goes to no server any more. It is asked before each try:
-// the try before may have been the one that showed it.
-func (p *Proxy) holds(r *Request, s *state) bool {
+// refuseIfHeld reports whether the call must not be sent to another server, and logs the
+// refusal. It is called before each attempt, since the previous one may have led to the hold.
+func (p *Proxy) refuseIfHeld(r *Request, s *callState) bool {
 	left, why := p.held(r, s)
 	if left == 0 {
 		return false
@@ -50,16 +51,16 @@
 	return true
 }
 
-// noteEnd finds out whether a server ended while it ran a call that got no answer:
-// nobody listens at its address any more. An answer that was lost on the way, a cut
-// and a call that ran out of time leave no such trace; one that said it would leave
-// ended for its own reasons.
-func (p *Proxy) noteEnd(ctx context.Context, r *Request, s *state, server *pool.Server, took clock.Millis) {
+// detectServerExit checks whether a server exited while it ran a call that got no answer, and
+// reports it to the guard and the metrics. The sign is that its address refuses connections,
+// which is not so after a lost answer, a network partition or a timeout. A server that is
+// listed as leaving is ignored.
+func (p *Proxy) detectServerExit(ctx context.Context, r *Request, s *callState, server *pool.Server, elapsed clock.Millis) {
 	if ctx.Err() != nil || server.Leaving() || !p.Client.ConnectionRefused(ctx, server.Address()) {
 		return
 	}
-	if p.Counts != nil {
-		p.Counts.ServerEnded(server.Service)
+	if p.Metrics != nil {
+		p.Metrics.ServerEnded(server.Service)
 	}
 	request := s.fingerprint(r)
 	if p.Guard != nil {
@@ -67,21 +68,22 @@
 	}
 	p.Trail.Add(trail.Decision{
 		ID: string(r.ID), Action: trail.Ended, Choice: string(server.Name),
-		Reason: fmt.Sprintf("request %s, %s %s, %d ms after it was sent: nobody listens at %s any more", request, r.Method, r.Target, took, server.Address()),
+		Reason: fmt.Sprintf("request %s, %s %s, %d ms after it was sent: nobody listens at %s any more", request, r.Method, r.Target, elapsed, server.Address()),
 	})
 }
 
-// clear tells that a server answered a call, if any call is suspected.
-func (p *Proxy) clear(r *Request, s *state) {
+// reportAnswered reports to the guard that a server answered a call, if any call is suspected.
+func (p *Proxy) reportAnswered(r *Request, s *callState) {
 	if p.Guard != nil && !p.Guard.Quiet() {
 		p.Guard.Answered(s.fingerprint(r))
 	}
 }
 
-// fingerprint returns what the call shares with others that ask for the same.
-func (s *state) fingerprint(r *Request) poison.Fingerprint {
-	if s.print == "" {
-		s.print = poison.Subject{Organisation: r.Organisation, Host: r.Route.Host, Method: r.Method, Target: r.Target, Body: r.Body}.Fingerprint()
+// fingerprint returns the call's fingerprint, which equal calls of an organisation share. It
+// is computed on first use.
+func (s *callState) fingerprint(r *Request) poison.Fingerprint {
+	if s.cachedFingerprint == "" {
+		s.cachedFingerprint = poison.Subject{Organisation: r.Organisation, Host: r.Route.Host, Method: r.Method, Target: r.Target, Body: r.Body}.Fingerprint()
 	}
-	return s.print
+	return s.cachedFingerprint
 }
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy passes live calls on to the backend servers of a route: it
-// chooses the server, tries others where the route allows it, and returns the
-// whole answer of one server or says truly that the call has not run.
+// Package proxy sends live calls to the backend servers of a route. It picks the server,
+// retries at others where the route allows it, and returns the whole answer of one server or
+// an error whose kind says whether the call may have run.
 package proxy
 
 import (
@@ -26,15 +26,15 @@
 
 // Kinds of errors.
 const (
-	// NotRun means that the call has not run and never will.
+	// NotRun means that the call has not run and will not.
 	NotRun Kind = "NotRun"
-	// Late means that the time was up while a server may have worked on it.
+	// Late means that the deadline passed while a server may have been running the call.
 	Late Kind = "Late"
 	// Lost means that the call may have run and its answer is lost.
 	Lost Kind = "Lost"
-	// Harmful means that the call has not run, since servers ended under it before.
+	// Harmful means that the call has not run because servers exited while running equal ones.
 	Harmful Kind = "Harmful"
-	// Left means that the caller has gone.
+	// Left means that the caller has disconnected.
 	Left Kind = "Left"
 )
 
@@ -49,110 +49,108 @@
 	Target  string
 	Headers []httpc.Header
 	Body    []byte
-	// Organisation is whose call it is; empty if nobody's.
+	// Organisation is the caller's organisation; empty if it has none.
 	Organisation ident.Organisation
-	// Own tells that the system itself makes the call. Where room is shared out, its calls
-	// share it as one more organisation: beside callers with more time they came last.
-	Own bool
-	// Urgent is its rank, 0 first.
-	Urgent int
-	// Until is when the caller stops waiting, by the steady clock.
-	Until clock.Millis
+	// Internal is true for calls of the system itself. Where capacity is shared, they have the
+	// share of one organisation.
+	Internal bool
+	// Priority orders calls that wait for capacity; 0 is the highest.
+	Priority int
+	// Deadline is when the caller stops waiting, by the monotonic clock.
+	Deadline clock.Millis
 }
 
-// Verdict is what a server's answer means for the call.
+// Verdict is the meaning of a server's answer.
 type Verdict struct {
-	// NotRun tells that the server has not run the call.
+	// NotRun is true if the server has not run the call.
 	NotRun bool
-	// Faulty tells that the server itself failed.
-	Faulty bool
-	// Load is what the server told of its load; it counts if HasLoad is set.
+	// Failed is true if the server itself failed.
+	Failed bool
+	// Load is the load that the server reported with the answer, if HasLoad is true.
 	Load    pool.Report
 	HasLoad bool
 }
 
-// Protocol speaks to backend servers.
+// Protocol defines the headers of requests to backend servers and the meaning of answers.
 type Protocol interface {
-	// Headers returns the headers for one try at a server, with the time that is
-	// left to it.
+	// Headers returns the headers for one attempt at a server; left is the time until the
+	// call's deadline.
 	Headers(r *Request, server ident.BackendName, left clock.Millis) []httpc.Header
-	// Resume adds to the headers that the answer is to go on after an event.
+	// Resume adds the header that asks a server to continue a stream after the event lastID.
 	Resume(headers []httpc.Header, lastID string) []httpc.Header
-	// Own tells whether an answer belongs to the call.
+	// Own reports whether an answer belongs to the call.
 	Own(r *Request, a *httpc.Answer) bool
-	// Judge tells what an answer means.
+	// Judge returns the meaning of an answer.
 	Judge(a *httpc.Answer) Verdict
 }
 
-// Proxy passes calls on. Set the exported fields before use.
+// Proxy sends calls to backend servers. Set the exported fields before use.
 type Proxy struct {
 	Pool     *pool.Pool
 	Protocol Protocol
 	Client   *httpc.Client
 	Clock    *clock.Clock
 	Trail    *trail.Trail
-	// Patience is how long a repeatable call waits for one server before it is
-	// tried at another.
-	Patience clock.Millis
-	// Usage is told of calls of organisations that began to run; it may be nil.
+	// AttemptTimeout is how long a repeatable call waits for one server before it is retried at
+	// another.
+	AttemptTimeout clock.Millis
+	// Usage counts the calls of organisations that servers may have started; it may be nil.
 	Usage Usage
-	// Counts may be nil.
-	Counts Counts
+	// Metrics may be nil.
+	Metrics Metrics
 	// Guard may be nil.
 	Guard Guard
-	// Rooms lets calls in; nil lets all in.
+	// Rooms limits calls; nil means no limits.
 	Rooms Rooms
 }
 
-// Counts counts what operators watch.
-type Counts interface {
-	// ServerEnded counts a server of a service that ended while it ran a call.
+// Metrics counts events for operators.
+type Metrics interface {
+	// ServerEnded counts a server of a service that exited while it ran a call.
 	ServerEnded(service ident.Service)
 }
 
-// Usage counts what organisations use.
+// Usage counts calls per organisation.
 type Usage interface {
-	// Began counts a call that a server began at a time of the steady clock.
+	// Began counts a call; at is when it was sent to the server, by the monotonic clock.
 	Began(organisation ident.Organisation, at clock.Millis)
 }
 
-// leastSend is the time below which a call is not sent any more: the server
-// could not answer in it.
-const leastSend = 5 * clock.Millis(1)
+// minTimeToSend is the minimum time to the deadline for a call to be sent to a server.
+const minTimeToSend = 5 * clock.Millis(1)
 
-// mostVain is how many servers that took no byte of a call are not counted among its
-// attempts. Servers that ended stay listed for 2 to 3 s; when three of four had, calls
-// with two attempts were refused 10 times in 20 beside an idle server. Each costs a round
-// trip, some 2 ms; beyond these the service is more likely gone as a whole.
-const mostVain = 4
+// maxUnreached is how many servers that received no byte of a call are not counted among its
+// attempts. Servers that have exited stay listed for a few seconds, and without this they
+// would use up the attempts of a call. More of them mean that the service is down.
+const maxUnreached = 4
 
-// Do carries a call to its end.
+// Do sends a call and returns the whole answer of one server. Errors are of type Error.
 func (p *Proxy) Do(ctx context.Context, r Request) (*httpc.Answer, error) {
 	if r.Route.Timeout > 0 {
-		r.Until = min(r.Until, p.Clock.Mono()+r.Route.Timeout)
+		r.Deadline = min(r.Deadline, p.Clock.Mono()+r.Route.Timeout)
 	}
-	state := &state{service: r.Route.Service(newRandom())}
-	defer func() { p.count(r, state) }()
+	state := &callState{service: r.Route.Service(newRandom())}
+	defer func() { p.recordUsage(r, state) }()
 	leave, err := p.enter(ctx, r, state)
 	if err != nil {
 		return nil, err
 	}
 	defer leave()
-	for state.left(r.Route) && p.again(state) {
-		if ctx.Err() != nil || r.Until-p.Clock.Mono() < leastSend || p.holds(&r, state) {
+	for state.hasAttempts(r.Route) && p.mayRetry(state) {
+		if ctx.Err() != nil || r.Deadline-p.Clock.Mono() < minTimeToSend || p.refuseIfHeld(&r, state) {
 			break
 		}
 		server := p.pick(r, state)
 		if server == nil {
 			break
 		}
-		state.tries++
+		state.attempts++
 		state.tried = append(state.tried, server.Name)
-		answer, again := p.try(ctx, r, server, state)
+		answer, retry := p.try(ctx, r, server, state)
 		if answer != nil {
 			return answer, nil
 		}
-		if !again {
+		if !retry {
 			break
 		}
 	}
@@ -163,41 +161,46 @@
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// state is how far a call has got.
-type state struct {
+// callState is the progress of a call.
+type callState struct {
 	service ident.Service
-	// tries counts the servers that were chosen, vain those of them that no byte of the
-	// call was sent to.
-	tries int
-	vain  int
-	tried []ident.BackendName
-	// ran tells that a server may have run the call, answered that one certainly did;
-	// began is when the call was last sent to one that did.
-	ran      bool
-	answered bool
-	began    clock.Millis
-	last     error
-	// print is the call's fingerprint, if it was needed; held that the call goes to no
-	// server any more.
-	print poison.Fingerprint
-	held  bool
-	// shared tells that the call was let in to the service's shared room; costly that
-	// another try at a server comes out of the budget.
-	shared bool
-	costly bool
+	// attempts counts the servers that were picked, unreached those of them that received no
+	// byte of the call, up to maxUnreached.
+	attempts  int
+	unreached int
+	tried     []ident.BackendName
+	// mayHaveRun is true if a server may have run the call, answered if one has run it. sentAt
+	// is when the call was sent to the last server that answered it, or else to the last that
+	// may have run it, by the monotonic clock.
+	mayHaveRun bool
+	answered   bool
+	sentAt     clock.Millis
+	lastErr    error
+	// cachedFingerprint is empty until fingerprint is called. held is true if the call must not
+	// be sent to another server.
+	cachedFingerprint poison.Fingerprint
+	held              bool
+	// admitted is true if Rooms let the call in. usesRetryBudget is true if another attempt is
+	// taken from the retry budget.
+	admitted        bool
+	usesRetryBudget bool
 }
 
-// left tells whether the call may go to one more server.
-func (s *state) left(route paths.Route) bool { return s.tries-s.vain < max(route.MaxAttempts, 1) }
+// hasAttempts reports whether the call may be sent to one more server.
+func (s *callState) hasAttempts(route paths.Route) bool {
+	return s.attempts-s.unreached < max(route.MaxAttempts, 1)
+}
 
-func (p *Proxy) pick(r Request, s *state) *pool.Server {
+// pick chooses a server that was not tried, and logs the choice. It returns nil if there is
+// none.
+func (p *Proxy) pick(r Request, s *callState) *pool.Server {
 	query := pool.Query{
-		ID: r.ID, Not: s.tried, Live: true, Alone: s.shared,
+		ID: r.ID, Exclude: s.tried, Live: true, LiveOnly: s.admitted,
 		Service: conf.Service{Name: s.service, Policy: route.Balanced, Slots: p.slots(s.service)},
 	}
 	server, runnerUp, reason := p.Pool.Pick(query)
 	action := trail.Route
-	if s.tries > 0 {
+	if s.attempts > 0 {
 		action = trail.Retry
 	}
 	if server == nil {
@@ -208,19 +211,20 @@
 		choice = server.Name
 	}
 	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: action, Choice: string(choice), RunnerUp: string(runnerUp),
-		Reason: fmt.Sprintf("try %d, %d ms left, %s", s.tries+1, r.Until-p.Clock.Mono(), reason)})
+		Reason: fmt.Sprintf("try %d, %d ms left, %s", s.attempts+1, r.Deadline-p.Clock.Mono(), reason)})
 	return server
 }
 
-// count tells the meter of a call that a server began. A call counts once, however
-// many servers it came to: callers see one.
-func (p *Proxy) count(r Request, s *state) {
-	if p.Usage != nil && r.Organisation != "" && (s.ran || s.answered) {
-		p.Usage.Began(r.Organisation, s.began)
+// recordUsage counts a call that a server may have run. A call counts once, however many
+// servers it was sent to.
+func (p *Proxy) recordUsage(r Request, s *callState) {
+	if p.Usage != nil && r.Organisation != "" && (s.mayHaveRun || s.answered) {
+		p.Usage.Began(r.Organisation, s.sentAt)
 	}
 }
 
-// slots returns how many requests a server of the service runs at once.
+// slots returns how many requests a server of the service runs at once, according to the
+// first listed server that has a number; 1 if none has.
 func (p *Proxy) slots(service ident.Service) int {
 	for _, m := range p.Pool.Fleet.View().Backends[service] {
 		if m.Slots > 0 {
@@ -230,18 +234,20 @@
 	return 1
 }
 
-// try sends the call to one server. It reports whether another may be tried.
-func (p *Proxy) try(ctx context.Context, r Request, server *pool.Server, s *state) (answer *httpc.Answer, again bool) {
+// try sends the call to one server. Without an answer, it reports whether the call may be
+// retried at another.
+func (p *Proxy) try(ctx context.Context, r Request, server *pool.Server, s *callState) (answer *httpc.Answer, retry bool) {
 	repeatable := r.Route.Kind == paths.Repeatable
-	left := r.Until - p.Clock.Mono()
-	patience := left
-	if repeatable && s.left(r.Route) {
-		patience = min(left, p.Patience)
+	left := r.Deadline - p.Clock.Mono()
+	timeout := left
+	if repeatable && s.hasAttempts(r.Route) {
+		timeout = min(left, p.AttemptTimeout)
 	}
-	tryCtx, cancel := context.WithTimeout(ctx, patience.Duration())
+	tryCtx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	if repeatable {
-		// A call that may not be repeated is waited for: it may have reached the new start.
+		// A call that must not be repeated keeps waiting: it may have reached the restarted
+		// server.
 		defer server.OnRestart(cancel)()
 	}
 	call := &httpc.Call{
@@ -251,103 +257,106 @@
 	}
 	began := p.Clock.Mono()
 	answer, err := p.Client.Do(tryCtx, call)
-	took := p.Clock.Mono() - began
+	latency := p.Clock.Mono() - began
 	if err != nil {
-		s.noteLost(err, began)
-		server.Release(p.Clock, true, took, false)
+		s.recordNoAnswer(err, began)
+		server.Release(p.Clock, true, latency, false)
 		if fault.KindOf[httpc.Kind](err) == httpc.Lost {
-			p.noteEnd(tryCtx, &r, s, server, took)
+			p.detectServerExit(tryCtx, &r, s, server, latency)
 		}
-		return nil, p.failed(ctx, r, server, s, repeatable, err)
+		return nil, p.recordFailedAttempt(ctx, r, server, s, repeatable, err)
 	}
 	verdict := p.Protocol.Judge(answer)
-	p.noteAnswer(&r, s, verdict, began)
-	p.learn(server, verdict)
-	p.noteRoom(r, s, server.Name, answer, verdict, took)
-	server.Release(p.Clock, true, took, !verdict.NotRun && !verdict.Faulty)
+	p.recordAnswer(&r, s, verdict, began)
+	p.recordLoad(server, verdict)
+	p.observeRoom(r, s, server.Name, answer, verdict, latency)
+	server.Release(p.Clock, true, latency, !verdict.NotRun && !verdict.Failed)
 	if verdict.NotRun {
-		s.last = fault.New("proxy.try", NotRun, string(server.Name)+" answered "+http.StatusText(answer.Status))
-		p.note(r, trail.Retry, server, "the server has not run it")
+		s.lastErr = fault.New("proxy.try", NotRun, string(server.Name)+" answered "+http.StatusText(answer.Status))
+		p.logDecision(r, trail.Retry, server, "the server has not run it")
 		return nil, true
 	}
-	if verdict.Faulty && server.Breaker.RecordFailure(p.Clock.Mono()) {
-		p.note(r, trail.Hold, server, "ejected after answers of failure")
+	if verdict.Failed && server.Breaker.RecordFailure(p.Clock.Mono()) {
+		p.logDecision(r, trail.Hold, server, "ejected after answers of failure")
 	}
-	if verdict.Faulty && repeatable && s.left(r.Route) {
-		s.ran, s.costly = true, true
-		s.last = fault.New("proxy.try", Lost, string(server.Name)+" answered "+http.StatusText(answer.Status))
-		p.note(r, trail.Retry, server, fmt.Sprintf("the server failed it with %d", answer.Status))
+	if verdict.Failed && repeatable && s.hasAttempts(r.Route) {
+		s.mayHaveRun, s.usesRetryBudget = true, true
+		s.lastErr = fault.New("proxy.try", Lost, string(server.Name)+" answered "+http.StatusText(answer.Status))
+		p.logDecision(r, trail.Retry, server, fmt.Sprintf("the server failed it with %d", answer.Status))
 		return nil, true
 	}
 	return answer, false
 }
 
-// noteAnswer notes a server's answer to a call that was sent to it at a time.
-func (p *Proxy) noteAnswer(r *Request, s *state, v Verdict, at clock.Millis) {
+// recordAnswer records a server's answer to a call that was sent at the time at.
+func (p *Proxy) recordAnswer(r *Request, s *callState, v Verdict, at clock.Millis) {
 	if v.NotRun {
 		return
 	}
-	s.answered, s.began = true, at
-	p.clear(r, s)
+	s.answered, s.sentAt = true, at
+	p.reportAnswered(r, s)
 }
 
-// noteLost notes a call without an answer.
-func (s *state) noteLost(err error, at clock.Millis) {
+// recordNoAnswer records an attempt without an answer that was sent at the time at.
+func (s *callState) recordNoAnswer(err error, at clock.Millis) {
 	if fault.KindOf[httpc.Kind](err) == httpc.NotSent {
-		s.vain = min(s.vain+1, mostVain)
+		s.unreached = min(s.unreached+1, maxUnreached)
 		return
 	}
-	s.ran, s.costly = true, true
+	s.mayHaveRun, s.usesRetryBudget = true, true
 	if !s.answered {
-		s.began = at
+		s.sentAt = at
 	}
 }
 
-func (p *Proxy) learn(server *pool.Server, v Verdict) {
+// recordLoad passes the load that a server reported with an answer to the pool.
+func (p *Proxy) recordLoad(server *pool.Server, v Verdict) {
 	if v.HasLoad {
-		server.NoteLoad(v.Load, p.Clock.Mono())
+		server.RecordLoad(v.Load, p.Clock.Mono())
 	}
 }
 
-// failed notes a try without an answer, and reports whether another may follow.
-func (p *Proxy) failed(ctx context.Context, r Request, server *pool.Server, s *state, repeatable bool, err error) bool {
-	s.last = err
+// recordFailedAttempt records an attempt without an answer at its server and in the decision
+// log. It reports whether the call may be retried.
+func (p *Proxy) recordFailedAttempt(ctx context.Context, r Request, server *pool.Server, s *callState, repeatable bool, err error) bool {
+	s.lastErr = err
 	sent := fault.KindOf[httpc.Kind](err) != httpc.NotSent
 	if ctx.Err() != nil {
 		return false
 	}
 	if server.Breaker.RecordFailure(p.Clock.Mono()) {
-		p.note(r, trail.Hold, server, "ejected after failures")
+		p.logDecision(r, trail.Hold, server, "ejected after failures")
 	}
-	p.note(r, trail.Retry, server, err.Error())
+	p.logDecision(r, trail.Retry, server, err.Error())
 	return repeatable || !sent
 }
 
-func (p *Proxy) note(r Request, action trail.Action, server *pool.Server, reason string) {
+// logDecision adds a decision about a server to the decision log.
+func (p *Proxy) logDecision(r Request, action trail.Action, server *pool.Server, reason string) {
 	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: action, Choice: string(server.Name), Reason: reason})
 }
 
 // giveUp returns the error of a call that got no answer.
-func (p *Proxy) giveUp(ctx context.Context, r Request, s *state) error {
+func (p *Proxy) giveUp(ctx context.Context, r Request, s *callState) error {
 	kind := NotRun
 	switch {
 	case ctx.Err() != nil:
 		kind = Left
-	case s.held && !s.ran:
+	case s.held && !s.mayHaveRun:
 		kind = Harmful
-	case s.ran && r.Until-p.Clock.Mono() < leastSend:
+	case s.mayHaveRun && r.Deadline-p.Clock.Mono() < minTimeToSend:
 		kind = Late
-	case s.ran:
+	case s.mayHaveRun:
 		kind = Lost
 	}
-	what := fmt.Sprintf("service %s after %d tries", s.service, s.tries)
-	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: trail.Refuse, Choice: string(kind), Reason: what})
-	failed := fault.New("proxy.Do", kind, what)
-	if s.last != nil {
-		failed = fault.Wrap("proxy.Do", kind, s.last, what)
+	summary := fmt.Sprintf("service %s after %d tries", s.service, s.attempts)
+	p.Trail.Add(trail.Decision{ID: string(r.ID), Action: trail.Refuse, Choice: string(kind), Reason: summary})
+	failed := fault.New("proxy.Do", kind, summary)
+	if s.lastErr != nil {
+		failed = fault.Wrap("proxy.Do", kind, s.lastErr, summary)
 	}
-	if kind == NotRun && s.shared {
-		failed.RetryAfter = p.Rooms.ComeBack(s.service, r.sharer())
+	if kind == NotRun && s.admitted {
+		failed.RetryAfter = p.Rooms.ComeBack(s.service, r.shareOwner())
 	}
 	return failed
 }
--- a/croftmoor/proxy/proxy_test.go
+++ b/croftmoor/proxy/proxy_test.go
@@ -19,17 +19,17 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// plainProtocol takes each answer for the call's own, and 500 for a failure.
+// plainProtocol accepts every answer as the call's own, and treats status 500 as a failure.
 type plainProtocol struct{}
 
 func (plainProtocol) Headers(*Request, ident.BackendName, clock.Millis) []httpc.Header { return nil }
 func (plainProtocol) Resume(h []httpc.Header, _ string) []httpc.Header                 { return h }
 func (plainProtocol) Own(*Request, *httpc.Answer) bool                                 { return true }
 func (plainProtocol) Judge(a *httpc.Answer) Verdict {
-	return Verdict{Faulty: a.Status == http.StatusInternalServerError}
+	return Verdict{Failed: a.Status == http.StatusInternalServerError}
 }
 
-// backend answers with a status and counts its calls.
+// backend is a server that answers with a fixed status and counts its calls.
 type backend struct {
 	member fleet.Member
 	calls  atomic.Int64
@@ -59,10 +59,10 @@
 	}
 	table.Set(list)
 	p := &pool.Pool{Fleet: table, Clock: c, Self: "a"}
-	p.Follow()
+	p.Refresh()
 	return &Proxy{
 		Pool: p, Protocol: plainProtocol{}, Client: &httpc.Client{}, Clock: c,
-		Trail: &trail.Trail{Log: zerolog.Nop(), Clock: c}, Patience: clock.Second,
+		Trail: &trail.Trail{Log: zerolog.Nop(), Clock: c}, AttemptTimeout: clock.Second,
 	}
 }
 
@@ -72,7 +72,7 @@
 	const calls = 40
 	for n := range calls {
 		answer, err := p.Do(t.Context(), Request{
-			ID: ident.RequestID("r-" + strconv.Itoa(n)), Method: http.MethodPost, Target: "/x", Until: p.Clock.Mono() + clock.Second,
+			ID: ident.RequestID("r-" + strconv.Itoa(n)), Method: http.MethodPost, Target: "/x", Deadline: p.Clock.Mono() + clock.Second,
 			Route: paths.Route{Kind: paths.Repeatable, MaxAttempts: 2, Shares: []paths.Share{{Service: "plain", Weight: 1}}},
 		})
 		if err != nil || answer.Status != http.StatusOK {
--- a/croftmoor/proxy/room.go
+++ b/croftmoor/proxy/room.go
@@ -13,47 +13,50 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// Rooms shares out how much of a service this instance may use.
+// Rooms limits the calls that this instance sends to a service, and shares the capacity among
+// organisations.
 type Rooms interface {
-	// Shared tells whether a service's room is shared out.
+	// Shared reports whether calls to a service are limited.
 	Shared(service ident.Service) bool
-	// Enter waits for a call's turn; leave is called once it has ended. A refusal tells
-	// when to come back.
+	// Enter waits until a call may start; leave must be called once when it has ended. On
+	// refusal, decision.RetryAfter is when the caller should retry.
 	Enter(ctx context.Context, service ident.Service, ask admit.Request) (leave func(), decision admit.Decision, err error)
-	// Note learns from a server's answer.
+	// Note adjusts a service's limit to a server's answer.
 	Note(service ident.Service, s admit.Signal)
-	// TryAgain tells whether a call may be tried at one more server.
+	// TryAgain takes one further attempt of a call from the service's retry budget. It reports
+	// false if the budget is used up.
 	TryAgain(service ident.Service) bool
-	// ComeBack returns when a caller should come back whose call found the servers full.
+	// ComeBack returns after how long an organisation should retry a call that found all
+	// servers full.
 	ComeBack(service ident.Service, by ident.Organisation) clock.Millis
 }
 
-// ownCalls shares room for the system's own calls; no organisation has such a name.
-const ownCalls = ident.Organisation("\x00own")
+// internalCalls is the share of the system's own calls; no organisation has this name.
+const internalCalls = ident.Organisation("\x00own")
 
-// sharer returns which organisation's share of the room the call takes.
-func (r *Request) sharer() ident.Organisation {
-	if r.Own {
-		return ownCalls
+// shareOwner returns the organisation whose share of the capacity the call uses.
+func (r *Request) shareOwner() ident.Organisation {
+	if r.Internal {
+		return internalCalls
 	}
 	return r.Organisation
 }
 
-// enter waits for the call's turn at its service. What is refused has not run.
-func (p *Proxy) enter(ctx context.Context, r Request, s *state) (leave func(), err error) {
+// enter waits until the call may start at its service. A refused call has not run.
+func (p *Proxy) enter(ctx context.Context, r Request, s *callState) (leave func(), err error) {
 	if p.Rooms == nil || !p.Rooms.Shared(s.service) {
 		return func() {}, nil
 	}
 	now := p.Clock.Mono()
-	ask := admit.Request{Organisation: r.sharer(), Priority: r.Urgent, StartBy: r.Until, Deadline: r.Until}
+	ask := admit.Request{Organisation: r.shareOwner(), Priority: r.Priority, StartBy: r.Deadline, Deadline: r.Deadline}
 	if r.Route.LatencyObjective > 0 {
-		ask.StartBy = min(now+r.Route.LatencyObjective, r.Until)
+		ask.StartBy = min(now+r.Route.LatencyObjective, r.Deadline)
 	}
-	waitCtx, cancel := context.WithTimeout(ctx, (r.Until - now).Duration())
+	waitCtx, cancel := context.WithTimeout(ctx, (r.Deadline - now).Duration())
 	defer cancel()
 	leave, decision, err := p.Rooms.Enter(waitCtx, s.service, ask)
 	if err == nil {
-		s.shared = true
+		s.admitted = true
 		return leave, nil
 	}
 	kind := NotRun
@@ -63,28 +66,28 @@
 	p.Trail.Add(trail.Decision{
 		ID: string(r.ID), Action: trail.Refuse, Choice: string(kind),
 		Reason: fmt.Sprintf("service %s: %s; sharing as %q, rank %d, %d wait, %.0f calls a second, waited %d ms, back in %d ms",
-			s.service, decision.Reason, ask.Organisation, r.Urgent, decision.Waiting, decision.Rate, p.Clock.Mono()-now, decision.RetryAfter),
+			s.service, decision.Reason, ask.Organisation, r.Priority, decision.Waiting, decision.Rate, p.Clock.Mono()-now, decision.RetryAfter),
 	})
 	refused := fault.Wrap("proxy.enter", kind, err, "service "+string(s.service))
 	refused.RetryAfter = decision.RetryAfter
 	return nil, refused
 }
 
-// again tells whether the call may go to a server: first tries always may, further ones
-// come out of a budget, since each of them asks servers that are full already. 48,424 of
-// 65,787 arrivals were shed when callers asked for up to five times what the servers do.
-func (p *Proxy) again(s *state) bool {
-	return !s.costly || !s.shared || p.Rooms.TryAgain(s.service)
+// mayRetry reports whether the call may be sent to a server. First attempts always may.
+// Further ones are taken from a retry budget if servers refused the call or may have run it,
+// since retries add load to servers that may be full.
+func (p *Proxy) mayRetry(s *callState) bool {
+	return !s.usesRetryBudget || !s.admitted || p.Rooms.TryAgain(s.service)
 }
 
-// noteRoom tells what an answer says of the room at its server.
-func (p *Proxy) noteRoom(r Request, s *state, server ident.BackendName, a *httpc.Answer, v Verdict, took clock.Millis) {
-	if !s.shared {
+// observeRoom reports to Rooms what an answer says about its server's free capacity.
+func (p *Proxy) observeRoom(r Request, s *callState, server ident.BackendName, a *httpc.Answer, v Verdict, latency clock.Millis) {
+	if !s.admitted {
 		return
 	}
 	shed := v.NotRun && a.Status == http.StatusServiceUnavailable
-	s.costly = s.costly || shed
-	signal := admit.Signal{Server: server, Shed: shed, Latency: took, Objective: r.Route.LatencyObjective}
+	s.usesRetryBudget = s.usesRetryBudget || shed
+	signal := admit.Signal{Server: server, Shed: shed, Latency: latency, Objective: r.Route.LatencyObjective}
 	if v.HasLoad {
 		signal.Waiting, signal.Slots = v.Load.Waiting, v.Load.Slots
 	}
--- a/croftmoor/proxy/vain_test.go
+++ b/croftmoor/proxy/vain_test.go
@@ -10,8 +10,8 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// shut returns a server that is listed and has ended: nobody listens at its address.
-func shut(t *testing.T, name string) *backend {
+// newEndedBackend returns a server that is listed although its address refuses connections.
+func newEndedBackend(t *testing.T, name string) *backend {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,15 +24,15 @@
 	return b
 }
 
-// Three of four servers have ended and stay listed for 2 to 3 s. Calls that may go to two
-// servers were refused when they met two of the three, though the fourth stood idle.
+// Guards against calls refused beside an idle server because servers that have exited but are
+// still listed used up their attempts.
 func TestServersThatEndedUseNoAttempt(t *testing.T) {
 	good := newBackend(t, "good", http.StatusOK)
 	const calls = 20
 	served := 0
 	for n := range calls {
-		// A new proxy each time: one that knows the servers has left those that ended.
-		p := newProxy(shut(t, "a"), shut(t, "b"), shut(t, "c"), good)
+		// A new proxy each time, since a proxy ejects servers that refuse connections.
+		p := newProxy(newEndedBackend(t, "a"), newEndedBackend(t, "b"), newEndedBackend(t, "c"), good)
 		if call(t, p, "r"+strconv.Itoa(n), 2) == nil {
 			served++
 		}
