--- a/croftmoor/batch/actors.go
+++ b/croftmoor/batch/actors.go
@@ -10,10 +10,10 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// silentTerm is how long the engines of an availability zone are left alone in
+// silentZonePause is how long the engines of an availability zone are left alone in
 // which no instance is heard any more: most likely the zone is cut off, and an
 // item sent there only fails after a while.
-const silentTerm = 10 * clock.Second
+const silentZonePause = 10 * clock.Second
 
 // actors says which instance acts for each engine. It is worked out anew only
 // when instances or engines have come or gone, since it costs a hash for each
@@ -22,39 +22,39 @@
 	view   *fleet.View
 	live   map[ident.InstanceName]ident.Zone
 	silent map[ident.Zone]bool
-	acting map[ident.BackendName]ident.InstanceName
+	byEngine map[ident.BackendName]ident.InstanceName
 	// dealers are the instances that deal, as far as they have been worked out.
 	dealers map[ident.Service]ident.InstanceName
 }
 
-// at returns the instance that acts for each server of the view; instances that
+// refresh returns the instance that acts for each server of the view; instances that
 // were not heard since the given time count as gone.
-func (a *actors) at(b *jobs.State, view *fleet.View, now, since clock.Millis) map[ident.BackendName]ident.InstanceName {
+func (a *actors) refresh(b *jobs.State, view *fleet.View, now, since clock.Millis) map[ident.BackendName]ident.InstanceName {
 	live := map[ident.InstanceName]ident.Zone{}
 	for _, m := range b.Live(since) {
 		live[m.Name] = m.Zone
 	}
-	silent := silentZones(b, live, now-silentTerm, since)
+	silent := silentZones(b, live, now-silentZonePause, since)
 	if a.view == view && maps.Equal(a.live, live) && maps.Equal(a.silent, silent) {
-		return a.acting
+		return a.byEngine
 	}
 	a.view, a.live, a.silent, a.dealers = view, live, silent, nil
-	a.acting = map[ident.BackendName]ident.InstanceName{}
+	a.byEngine = map[ident.BackendName]ident.InstanceName{}
 	var all []views.Member
-	near := map[ident.Zone][]views.Member{}
+	sameZone := map[ident.Zone][]views.Member{}
 	for name, zone := range live {
 		member := views.Member{Name: name, Zone: zone}
 		all = append(all, member)
-		near[zone] = append(near[zone], member)
+		sameZone[zone] = append(sameZone[zone], member)
 	}
 	for _, engines := range view.Backends {
 		for _, engine := range engines {
-			if actor := actorFor(engine, near[engine.Zone], all); !silent[engine.Zone] {
-				a.acting[ident.BackendName(engine.Name)] = actor
+			if actor := actorFor(engine, sameZone[engine.Zone], all); !silent[engine.Zone] {
+				a.byEngine[ident.BackendName(engine.Name)] = actor
 			}
 		}
 	}
-	return a.acting
+	return a.byEngine
 }
 
 // silentZones returns the zones that have fallen silent as a whole lately.
@@ -74,10 +74,10 @@
 // actorFor returns the instance that acts for an engine: by rendezvous hashing
 // among those of its availability zone, so that texts stay there, or among all
 // if it has none.
-func actorFor(engine fleet.Member, near, all []views.Member) ident.InstanceName {
-	if len(near) == 0 {
-		near = all
+func actorFor(engine fleet.Member, sameZone, all []views.Member) ident.InstanceName {
+	if len(sameZone) == 0 {
+		sameZone = all
 	}
-	actor, _ := views.First(engine.Name, near)
+	actor, _ := views.First(engine.Name, sameZone)
 	return actor.Name
 }
--- a/croftmoor/batch/ahead_test.go
+++ b/croftmoor/batch/ahead_test.go
@@ -50,15 +50,15 @@
 						job.Items[i].Body = jobs.Span{Stream: "bodies.0", First: ident.Offset(i + 1), Count: 1}
 					}
 				})
-				r.plan()
-				r.fetch(t.Context(), "job-0")
+				r.planClaims()
+				r.prefetchJob(t.Context(), "job-0")
 			}
 			if len(blobs.reads) != waiting {
 				t.Errorf("%d bodies read ahead of %d items that wait", len(blobs.reads), waiting)
 			}
 			for span, reads := range blobs.reads {
-				if reads != replicas {
-					t.Fatalf("body %d was read %d times, want %d", span.First, reads, replicas)
+				if reads != bodyReplicas {
+					t.Fatalf("body %d was read %d times, want %d", span.First, reads, bodyReplicas)
 				}
 			}
 		})
--- a/croftmoor/batch/alone.go
+++ b/croftmoor/batch/alone.go
@@ -13,11 +13,11 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// mostAlone is the age of the state beyond which nothing is begun from it; an
+// maxStateAge is the age of the state beyond which nothing is begun from it; an
 // instance that has not read the ledger yet counts as older.
-const mostAlone = 30 * clock.Second
+const maxStateAge = 30 * clock.Second
 
-// goOn runs items without claims while the ledger can't be reached: each that
+// beginWithoutClaims runs items without claims while the ledger can't be reached: each that
 // nobody had claimed in the state that was read last falls to one engine which can
 // run it, and so to the instance that acted for it then. What is made is listed when
 // the ledger is back; an item that ran twice is listed once.
@@ -25,28 +25,28 @@
 // The load it answers: the log is away for all for 7 s while four steps wait. When
 // items fell to instances, whether these had an engine with the version or not, 30
 // began in 2 s, of several hundred that engines with room could have run.
-func (r *Runner) goOn(ctx context.Context) {
+func (r *Runner) beginWithoutClaims(ctx context.Context) {
 	table := r.Routes()
-	if table == nil || !r.Ledger.Away() || r.Ledger.Age() > mostAlone {
+	if table == nil || !r.Ledger.Away() || r.Ledger.Age() > maxStateAge {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var begin []claimed
+	var toBegin []claimed
 	r.Ledger.View(func(b *jobs.State) {
 		s := r.survey(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
 		if s == nil {
 			return
 		}
 		s.addPieces()
-		for _, d := range deal.Assign(r.share(s), r.ownEngines(s), 0, s.allowed) {
+		for _, d := range deal.Assign(r.ownItems(s), r.ownEngines(s), 0, s.allowed) {
 			job := b.Jobs[d.Item.Job]
 			item := *s.item(d.Item)
 			item.Claim, item.Owner, item.Engine = 0, r.Self, d.Engine
-			begin = append(begin, claimed{key: jobs.ItemKey{Job: job.Job, Index: d.Item.Target.Index}, item: item, accept: job.Accept})
+			toBegin = append(toBegin, claimed{key: jobs.ItemKey{Job: job.Job, Index: d.Item.Target.Index}, item: item, accept: job.Accept})
 		}
 	})
-	for _, c := range begin {
+	for _, c := range toBegin {
 		r.Trail.Add(trail.Decision{
 			ID: string(c.item.ID), Action: trail.Place, Choice: string(c.item.Engine),
 			Reason: fmt.Sprintf("job %s, expects %d tokens, without a claim: the ledger was last read %d ms ago", c.key.Job, c.item.Expect, r.Ledger.Age()),
@@ -55,35 +55,35 @@
 	}
 }
 
-// share returns the waiting items that fall to engines of this instance and that it
+// ownItems returns the waiting items that fall to engines of this instance and that it
 // does not run already; mu is held.
-func (r *Runner) share(s *survey) []deal.RankedItem {
-	var mine []deal.RankedItem
-	fixed := deal.NewRendezvous(s.engines, s.allowed)
+func (r *Runner) ownItems(s *survey) []deal.RankedItem {
+	var own []deal.RankedItem
+	rendezvous := deal.NewRendezvous(s.engines, s.allowed)
 	for _, p := range s.pieces {
 		if r.runs[jobs.ItemKey{Job: p.Job, Index: p.Target.Index}] != nil {
 			continue
 		}
-		if engine, ok := fixed.Engine(s.item(p).ID, p.Job); ok && s.actor[engine] == r.Self {
-			mine = append(mine, p)
+		if engine, ok := rendezvous.Engine(s.item(p).ID, p.Job); ok && s.actor[engine] == r.Self {
+			own = append(own, p)
 		}
 	}
-	return mine
+	return own
 }
 
-// replicas is how many instances read a body ahead. The first is often the one that is
+// bodyReplicas is how many instances read a body ahead. The first is often the one that is
 // cut off or restarted in the same trouble.
-const replicas = 2
+const bodyReplicas = 2
 
 // replicasOf returns which of the instances that act for engines read the body of an
 // item ahead, best first, by rendezvous hashing: who runs it is not known yet.
 func replicasOf(id ident.Item, actors []views.Member) []views.Member {
 	ranked := views.Rank("replica "+string(id), actors)
-	return ranked[:min(replicas, len(ranked))]
+	return ranked[:min(bodyReplicas, len(ranked))]
 }
 
-// actors returns the instances that act for engines which may get items.
-func (s *survey) actors() []views.Member {
+// actingInstances returns the instances that act for engines which may get items.
+func (s *survey) actingInstances() []views.Member {
 	known := map[ident.InstanceName]bool{}
 	var actors []views.Member
 	for _, e := range s.engines {
@@ -114,8 +114,8 @@
 	return own
 }
 
-// late returns claims for the items that this instance began without one.
-func (r *Runner) late() []jobs.Claim {
+// lateClaims returns claims for the items that this instance began without one.
+func (r *Runner) lateClaims() []jobs.Claim {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var claims []jobs.Claim
@@ -127,32 +127,32 @@
 	return claims
 }
 
-// fetchSpan is the span over which the instances read the bodies of a new job
+// prefetchWindow is the span over which the instances read the bodies of a new job
 // ahead: most items are claimed within it, and whoever runs an item reads its body
 // in any case.
-const fetchSpan = 500 * clock.Millis(1)
+const prefetchWindow = 500 * clock.Millis(1)
 
-// prefetch has the bodies of jobs read that have just come; mu is held.
-func (r *Runner) prefetch(ctx context.Context, open map[ident.Job]bool) {
+// schedulePrefetch has the bodies of jobs read that have just come; mu is held.
+func (r *Runner) schedulePrefetch(ctx context.Context, open map[ident.Job]bool) {
 	for id := range open {
 		if r.fetched[id] {
 			continue
 		}
-		pause := fetchSpan/2 + clock.Millis(ident.Hash(string(id), string(r.Self))%uint64(fetchSpan/2))
+		pause := prefetchWindow/2 + clock.Millis(ident.Hash(string(id), string(r.Self))%uint64(prefetchWindow/2))
 		r.group.Go(func() {
 			if r.Clock.Sleep(ctx, pause) {
-				r.fetch(ctx, id)
+				r.prefetchJob(ctx, id)
 			}
 		})
 	}
 	r.fetched = open
 }
 
-// fetch reads the bodies of those waiting items of a job into the cache of which this
+// prefetchJob reads the bodies of those waiting items of a job into the cache of which this
 // instance holds a replica. So each body is read ahead twice, however many instances there
 // are.
-func (r *Runner) fetch(ctx context.Context, id ident.Job) {
-	for _, span := range r.ahead(id) {
+func (r *Runner) prefetchJob(ctx context.Context, id ident.Job) {
+	for _, span := range r.bodiesToPrefetch(id) {
 		if _, err := r.Blobs.Get(ctx, span); err != nil {
 			if ctx.Err() == nil {
 				r.Trail.Add(trail.Decision{ID: string(id), Action: trail.Hold, Choice: "bodies not fetched", Reason: err.Error()})
@@ -162,8 +162,8 @@
 	}
 }
 
-// ahead returns the bodies of a job that this instance should read ahead.
-func (r *Runner) ahead(id ident.Job) []jobs.Span {
+// bodiesToPrefetch returns the bodies of a job that this instance should read bodiesToPrefetch.
+func (r *Runner) bodiesToPrefetch(id ident.Job) []jobs.Span {
 	table := r.Routes()
 	if table == nil {
 		return nil
@@ -180,7 +180,7 @@
 			return
 		}
 		s.addPieces()
-		actors := s.actors()
+		actors := s.actingInstances()
 		for _, p := range s.pieces {
 			if p.Job != id {
 				continue
@@ -194,15 +194,15 @@
 	return spans
 }
 
-// bodyTerm is how long the log is asked for a body before replicas are: one that takes
+// bodyReadTimeout is how long the log is asked for a body before replicas are: one that takes
 // fifty times its usual 4 ms comes within it, one that is silent keeps no item longer.
-const bodyTerm = 1 * clock.Second
+const bodyReadTimeout = 1 * clock.Second
 
-// body returns what is kept of an item: from the log, or while that does not answer
+// readBody returns what is kept of an item: from the log, or while that does not answer
 // from an instance that has read it ahead.
-func (r *Runner) body(ctx context.Context, item *jobs.Item) ([]byte, error) {
+func (r *Runner) readBody(ctx context.Context, item *jobs.Item) ([]byte, error) {
 	if !r.Ledger.Away() {
-		first, cancel := context.WithTimeout(ctx, bodyTerm.Duration())
+		first, cancel := context.WithTimeout(ctx, bodyReadTimeout.Duration())
 		data, err := r.Blobs.Get(first, item.Body)
 		cancel()
 		if err == nil {
@@ -231,7 +231,7 @@
 		if s == nil {
 			return
 		}
-		for _, m := range replicasOf(id, s.actors()) {
+		for _, m := range replicasOf(id, s.actingInstances()) {
 			if member := b.Members[m.Name]; member != nil && m.Name != r.Self && member.Address != "" {
 				addresses = append(addresses, member.Address)
 			}
--- a/croftmoor/batch/alone_test.go
+++ b/croftmoor/batch/alone_test.go
@@ -23,7 +23,7 @@
 		s := r.survey(ledger.book, r.Routes(), ledger.QuietSince())
 		s.addPieces()
 		waiting = len(s.pieces)
-		mine := r.share(s)
+		mine := r.ownItems(s)
 		shared += len(mine)
 		if len(mine) > 0 && len(r.ownEngines(s)) == 0 {
 			t.Errorf("%s has %d items and no engine", r.Self, len(mine))
--- a/croftmoor/batch/away_test.go
+++ b/croftmoor/batch/away_test.go
@@ -78,7 +78,7 @@
 			ledger.book.Apply(ledger.book.Next+1, jobs.Loaded{Engine: ident.BackendName(fmt.Sprintf("engine-%d", e)), Model: "m", Version: 2}, r.Clock.Mono())
 		}
 		runners = append(runners, r)
-		r.goOn(ctx)
+		r.beginWithoutClaims(ctx)
 	}
 	running := 0
 	for _, r := range runners {
@@ -129,11 +129,11 @@
 			member.Address = ident.Address(name)
 		}
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), (3 * bodyTerm).Duration())
+	ctx, cancel := context.WithTimeout(t.Context(), (3 * bodyReadTimeout).Duration())
 	defer cancel()
 	began := r.Clock.Mono()
-	_, err := r.body(ctx, &item)
-	if took := r.Clock.Mono() - began; err != nil || took > bodyTerm+clock.Second/2 {
-		t.Errorf("error %v after %d ms, want the body after %d", err, took, bodyTerm)
+	_, err := r.readBody(ctx, &item)
+	if took := r.Clock.Mono() - began; err != nil || took > bodyReadTimeout+clock.Second/2 {
+		t.Errorf("error %v after %d ms, want the body after %d", err, took, bodyReadTimeout)
 	}
 }
--- a/croftmoor/batch/back_test.go
+++ b/croftmoor/batch/back_test.go
@@ -53,7 +53,7 @@
 	}
 	avoid, told := ledger.appends[0][0].(jobs.Avoid)
 	yield, given := ledger.appends[0][1].(jobs.Yield)
-	if !told || !given || avoid.Engine != "engine-0" || clock.Millis(avoid.Millis) != avoidBusy || yield.Job != "job-0" {
+	if !told || !given || avoid.Engine != "engine-0" || clock.Millis(avoid.Millis) != avoidBusyMillis || yield.Job != "job-0" {
 		t.Errorf("records %+v, want the engine avoided and the item given back", ledger.appends[0])
 	}
 }
--- a/croftmoor/batch/dealer.go
+++ b/croftmoor/batch/dealer.go
@@ -22,22 +22,22 @@
 // waste records and break nothing. While it is silent each instance places items at
 // its own engines, and after QuietSince another one deals.
 
-// idleTerm is how long an engine may have room for an item that waits before the
+// idleBeforeOwnShare is how long an engine may have room for an item that waits before the
 // instance that acts for it no longer leaves it to the dealer: the dealer's record
 // takes some 50 ms to come, and a slot that rests costs a step less than items that
 // race.
-const idleTerm = 400 * clock.Millis(1)
+const idleBeforeOwnShare = 400 * clock.Millis(1)
 
-// lookPause is the pause between two looks at own engines that may have rested: a deal
+// idleCheckPeriod is the pause between two looks at own engines that may have rested: a deal
 // of its own after each batch of records, up to 60 a second, took an instance 1 to 4 ms
 // with 300 engines and 1,000 items that wait (measured on this function).
-const lookPause = 100 * clock.Millis(1)
+const idleCheckPeriod = 100 * clock.Millis(1)
 
-// aloneTerm is how long an engine may have rested before its instance takes any item
+// idleBeforeAnyItem is how long an engine may have rested before its instance takes any item
 // rather than those that fall to it by rendezvous hashing: without a dealer all
 // instances would claim the same longest item, one of them with success, and again
 // for the next one.
-const aloneTerm = 1200 * clock.Millis(1)
+const idleBeforeAnyItem = 1200 * clock.Millis(1)
 
 // dealer returns the instance that deals for a service; mu is held, and the actors
 // have been worked out.
@@ -57,8 +57,8 @@
 	return dealer.Name
 }
 
-// plan returns the claims that this instance should make now.
-func (r *Runner) plan() []jobs.Claim {
+// planClaims returns the claims that this instance should make now.
+func (r *Runner) planClaims() []jobs.Claim {
 	table := r.Routes()
 	if table == nil {
 		return nil
@@ -75,16 +75,16 @@
 		dealt := func(e deal.Engine) bool { return r.dealer(s.services[e.Name]) == r.Self }
 		if s.room(dealt, overbook) {
 			s.addPieces()
-			claims = r.claims(s, deal.Assign(s.pieces, s.only(dealt), overbook, s.allowed))
+			claims = r.newClaims(s, deal.Assign(s.pieces, s.only(dealt), overbook, s.allowed))
 		}
 		own := func(e deal.Engine) bool { return s.actor[e.Name] == r.Self && !dealt(e) }
-		if s.now < r.looked+lookPause {
+		if s.now < r.looked+idleCheckPeriod {
 			return
 		}
 		r.looked = s.now
 		if s.room(own, 0) {
 			s.addPieces()
-			claims = append(claims, r.unaided(s, own)...)
+			claims = append(claims, r.claimsForIdleEngines(s, own)...)
 		} else {
 			clear(r.idle)
 		}
@@ -92,9 +92,9 @@
 	return claims
 }
 
-// unaided returns claims for engines that this instance acts for and that have had
+// claimsForIdleEngines returns claims for engines that this instance acts for and that have had
 // room for long without the dealer giving them an item.
-func (r *Runner) unaided(s *survey, own func(deal.Engine) bool) []jobs.Claim {
+func (r *Runner) claimsForIdleEngines(s *survey, own func(deal.Engine) bool) []jobs.Claim {
 	idle := map[ident.BackendName]clock.Millis{}
 	longest := clock.Millis(0)
 	for _, d := range deal.Assign(s.pieces, s.only(own), 0, s.allowed) {
@@ -106,23 +106,23 @@
 		longest = max(longest, s.now-since)
 	}
 	r.idle = idle
-	if longest <= idleTerm {
+	if longest <= idleBeforeOwnShare {
 		return nil
 	}
 	rested := func(e deal.Engine) bool {
 		since, known := idle[e.Name]
-		return known && s.now-since > idleTerm
+		return known && s.now-since > idleBeforeOwnShare
 	}
 	pieces := s.pieces
-	if longest <= aloneTerm {
-		pieces = r.share(s)
+	if longest <= idleBeforeAnyItem {
+		pieces = r.ownItems(s)
 	}
-	return r.claims(s, deal.Assign(pieces, s.only(rested), 0, s.allowed))
+	return r.newClaims(s, deal.Assign(pieces, s.only(rested), 0, s.allowed))
 }
 
-// claims turns a deal into claims, one for each job and engine, and leaves out what
+// newClaims turns a deal into newClaims, one for each job and engine, and leaves out what
 // this instance has claimed already.
-func (r *Runner) claims(s *survey, deals []deal.Assignment) []jobs.Claim {
+func (r *Runner) newClaims(s *survey, deals []deal.Assignment) []jobs.Claim {
 	type target struct {
 		job    ident.Job
 		engine ident.BackendName
--- a/croftmoor/batch/harm.go
+++ b/croftmoor/batch/harm.go
@@ -13,10 +13,10 @@
 	"croftmoor.dev/kernel/poison"
 )
 
-// putOffTerm is for how long at most an item goes to no engine before its guard is asked
+// maxDefer is for how long at most an item goes to no engine before its guard is asked
 // again: the item may be cleared meanwhile. It costs a claim and a look at the body each
 // time, for each held item.
-const putOffTerm = 2 * clock.Second
+const maxDefer = 2 * clock.Second
 
 // fingerprint returns what an item shares with others that ask for the same.
 func fingerprint(item work.Item) poison.Fingerprint {
@@ -35,31 +35,31 @@
 	return r.Guard.Held(fingerprint(item))
 }
 
-// putOff gives an item back that is to go to no engine for a while. It is not given
+// deferItem gives an item back that is to go to no engine for a while. It is not given
 // up: that would be a result, which its trainer may have only at the end of the job.
-func (r *Runner) putOff(ctx context.Context, made *progress, left clock.Millis, why string) {
+func (r *Runner) deferItem(ctx context.Context, made *progress, left clock.Millis, why string) {
 	c := made.claim
-	r.giveBack(ctx, made, jobs.Yield{}, why, jobs.Defer{
-		Job: c.key.Job, By: r.Self, Index: c.key.Index, Millis: int(min(left, putOffTerm)),
+	r.yieldItem(ctx, made, jobs.Yield{}, why, jobs.Defer{
+		Job: c.key.Job, By: r.Self, Index: c.key.Index, Millis: int(min(left, maxDefer)),
 	})
 }
 
-// noteEnd tells the guard what the end of a run says of the item: an engine that failed
+// reportEngineEnd tells the guard what the end of a run says of the item: an engine that failed
 // it lives, one that listens no more has ended under it, unless it was about to leave.
-func (r *Runner) noteEnd(ctx context.Context, item work.Item, made *progress, err error) {
+func (r *Runner) reportEngineEnd(ctx context.Context, item work.Item, made *progress, err error) {
 	kind := fault.KindOf[EngineKind](err)
 	if kind == Failed || kind == Impossible {
-		r.answered(item)
+		r.reportAnswered(item)
 	}
-	engine, listed := r.member(made.claim)
+	engine, listed := r.engineOf(made.claim)
 	if r.Guard == nil || kind != Broken || ctx.Err() != nil || !listed || engine.State == fleet.Leaving || !r.Engines.Ended(ctx, engine) {
 		return
 	}
 	r.Guard.Ended(fingerprint(item), ident.BackendName(engine.Name))
 }
 
-// answered tells the guard that an engine answered an item.
-func (r *Runner) answered(item work.Item) {
+// reportAnswered tells the guard that an engine reportAnswered an item.
+func (r *Runner) reportAnswered(item work.Item) {
 	if r.Guard != nil {
 		r.Guard.Answered(fingerprint(item))
 	}
--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// meterEvents is how many of the last events tell the present speed, and also
+	// windowEvents is how many of the last events tell the present speed, and also
 	// how often it is asked whether another engine would be faster.
-	meterEvents = 8
-	// keptMarks is how many are kept: two such spans, since an engine that shares its machine
+	windowEvents = 8
+	// keptTimes is how many are kept: two such spans, since an engine that shares its machine
 	// is slow for some 0.6 s at a time, which is less than two spans of slow events.
-	keptMarks = 2 * meterEvents
-	// eventTokens is how many tokens an event is taken to hold where the length
+	keptTimes = 2 * windowEvents
+	// tokensPerEvent is how many tokens an event is taken to hold where the length
 	// of a text is only known in tokens.
-	eventTokens = 52
+	tokensPerEvent = 52
 	// A text that has reached its expected length goes on for a share of what it
 	// has, and for leastLeft events at least: estimates are often far too low, and
 	// the longer a text the more it still grows.
-	madeShare = 2
-	leastLeft = 20
+	overrunDivisor = 2
+	minEventsLeft = 20
 )
 
 // meter measures the speed of a run.
@@ -38,93 +38,93 @@
 	events int
 	first  clock.Millis
 	last   clock.Millis
-	// marks are the times of the last events.
-	marks [keptMarks]clock.Millis
-	// shares tells that the engine shares its machine with others.
-	shares bool
-	// crowds is the sum of what was seen of how many times longer events took for
+	// times are the times of the last events.
+	times [keptTimes]clock.Millis
+	// sharesMachine tells that the engine sharesMachine its machine with others.
+	sharesMachine bool
+	// slowdownSum is the sum of what was seen of how many times longer events took for
 	// what ran beside, looks how often that was looked at.
-	crowds float64
-	looks  int
+	slowdownSum float64
+	loadSamples  int
 }
 
-// look notes what runs at the engine beside this run.
-func (m *meter) look(beside jobs.Load) {
-	m.crowds += deal.Slowdown(beside)
-	m.looks++
+// sampleLoad notes what runs at the engine beside this run.
+func (m *meter) sampleLoad(beside jobs.Load) {
+	m.slowdownSum += deal.Slowdown(beside)
+	m.loadSamples++
 }
 
-// crowd returns how many times longer an event took for what ran beside.
-func (m *meter) crowd() float64 {
-	if m.looks == 0 {
+// meanSlowdown returns how many times longer an event took for what ran beside.
+func (m *meter) meanSlowdown() float64 {
+	if m.loadSamples == 0 {
 		return 1
 	}
-	return m.crowds / float64(m.looks)
+	return m.slowdownSum / float64(m.loadSamples)
 }
 
-// note counts an event that has just come.
-func (m *meter) note() {
+// recordEvent counts an event that has just come.
+func (m *meter) recordEvent() {
 	now := m.clock.Mono()
 	if m.events == 0 {
 		m.first = now
 	}
 	m.last = now
-	m.marks[m.events%keptMarks] = now
+	m.times[m.events%keptTimes] = now
 	m.events++
 }
 
-// due tells whether it is time to compare speeds.
-func (m *meter) due() bool {
-	return m.events > meterEvents && m.events%meterEvents == 0
+// comparisonDue tells whether it is time to compare speeds.
+func (m *meter) comparisonDue() bool {
+	return m.events > windowEvents && m.events%windowEvents == 0
 }
 
 // pace returns the time of an event lately, in milliseconds; 0 if unknown.
 func (m *meter) pace() float64 {
-	if m.events <= meterEvents {
+	if m.events <= windowEvents {
 		return 0
 	}
 	return m.paceBefore(0)
 }
 
-// lasting returns the time of an event that is expected to last: where the engine shares its
+// sustainedPace returns the time of an event that is expected to last: where the engine shares its
 // machine, that of the faster one of the last two spans, so that a slow spell moves nothing.
 // 0 is unknown.
-func (m *meter) lasting() float64 {
-	if !m.shares {
+func (m *meter) sustainedPace() float64 {
+	if !m.sharesMachine {
 		return m.pace()
 	}
-	if m.events < keptMarks {
+	if m.events < keptTimes {
 		return 0
 	}
-	return min(m.paceBefore(0), m.paceBefore(meterEvents))
+	return min(m.paceBefore(0), m.paceBefore(windowEvents))
 }
 
 // paceBefore returns the time of an event in the span of meterEvents that ended so many
 // events ago.
 func (m *meter) paceBefore(ago int) float64 {
-	newest := m.marks[(m.events-1-ago)%keptMarks]
-	oldest := m.marks[(m.events-ago-meterEvents)%keptMarks]
-	return float64(newest-oldest) / float64(meterEvents-1)
+	newest := m.times[(m.events-1-ago)%keptTimes]
+	oldest := m.times[(m.events-ago-windowEvents)%keptTimes]
+	return float64(newest-oldest) / float64(windowEvents-1)
 }
 
-// waited returns how long the engine took to the first event.
-func (m *meter) waited() clock.Millis {
+// timeToFirstEvent returns how long the engine took to the first event.
+func (m *meter) timeToFirstEvent() clock.Millis {
 	if m.events == 0 {
 		return 0
 	}
 	return m.first - m.began
 }
 
-// speed returns what the run tells of its engine, as if nothing had run beside.
+// timing returns what the run tells of its engine, as if nothing had run beside.
 // The first event is left out, because it holds the wait for a slot and the
 // reading of the prompt.
-func (m *meter) speed(engine ident.BackendName) jobs.Timing {
-	return jobs.Timing{Engine: engine, Events: max(m.events-1, 0), Millis: int(float64(m.last-m.first) / m.crowd())}
+func (m *meter) timing(engine ident.BackendName) jobs.Timing {
+	return jobs.Timing{Engine: engine, Events: max(m.events-1, 0), Millis: int(float64(m.last-m.first) / m.meanSlowdown())}
 }
 
-// better tells whether the rest of a text should be made by another engine that
+// shouldMove tells whether the rest of a text should be made by another engine that
 // has a free slot.
-func (r *Runner) better(c claimed, made int, m *meter) bool {
+func (r *Runner) shouldMove(c claimed, made int, m *meter) bool {
 	table := r.Routes()
 	policy, err := place.Policies.New(place.Longest)
 	// While the ledger can't be reached nobody would learn that the item waits.
@@ -133,35 +133,35 @@
 	}
 	other := 0.0
 	r.Ledger.View(func(b *jobs.State) {
-		m.look(beside(b, c.item))
-		other = r.fastest(b, c, table.Services[c.accept.Service].Slots)
+		m.sampleLoad(otherLoad(b, c.item))
+		other = r.fastestOtherPace(b, c, table.Services[c.accept.Service].Slots)
 	})
 	if other == 0 {
 		return false
 	}
-	left := max(int(c.item.Expect)/eventTokens-made, made/madeShare, leastLeft)
+	left := max(int(c.item.Expect)/tokensPerEvent-made, made/overrunDivisor, minEventsLeft)
 	return policy.ShouldMove(place.MoveCandidate{
-		LastOfStep: true, TokensLeft: ident.Tokens(left), Rate: perSecond(m.lasting()), OtherRate: perSecond(other), Moves: c.item.Yields,
+		LastOfStep: true, TokensLeft: ident.Tokens(left), Rate: eventsPerSecond(m.sustainedPace()), OtherRate: eventsPerSecond(other), Moves: c.item.Yields,
 	})
 }
 
-// beside returns what runs at an item's engine beside it.
-func beside(b *jobs.State, item jobs.Item) jobs.Load {
+// otherLoad returns what runs at an item's engine otherLoad it.
+func otherLoad(b *jobs.State, item jobs.Item) jobs.Load {
 	load := b.Loads[item.Engine]
 	return jobs.Load{Items: max(load.Items-1, 0), Expect: max(load.Expect-item.Expect, 0)}
 }
 
-// perSecond turns milliseconds an event into events a second.
-func perSecond(pace float64) float64 {
+// eventsPerSecond turns milliseconds an event into events a second.
+func eventsPerSecond(pace float64) float64 {
 	if pace <= 0 {
 		return 0
 	}
 	return float64(clock.Second) / pace
 }
 
-// fastest returns the shortest expected time of an event at another engine that
+// fastestOtherPace returns the shortest expected time of an event at another engine that
 // could go on with the item; 0 if there is none.
-func (r *Runner) fastest(b *jobs.State, c claimed, slots int) float64 {
+func (r *Runner) fastestOtherPace(b *jobs.State, c claimed, slots int) float64 {
 	now := r.Clock.Mono()
 	best := 0.0
 	for _, m := range r.Fleet.View().Backends[c.accept.Service] {
--- a/croftmoor/batch/move_test.go
+++ b/croftmoor/batch/move_test.go
@@ -34,11 +34,11 @@
 	c := claimed{key: jobs.ItemKey{Job: "job-0"}, item: item, accept: job.Accept}
 	m := paced(&meter{}, 9, 100)
 	m.clock = r.Clock
-	if !r.better(c, 9, m) {
+	if !r.shouldMove(c, 9, m) {
 		t.Fatal("the item does not move though another engine is five times as fast")
 	}
 	r.Ledger = staleLedger{ledger}
-	if r.better(c, 9, m) {
+	if r.shouldMove(c, 9, m) {
 		t.Error("the item moves while nobody can learn of it")
 	}
 }
@@ -50,14 +50,14 @@
 	}
 	for range events {
 		m.clock.Advance(each)
-		m.note()
+		m.recordEvent()
 	}
 	return m
 }
 
 func assertLasting(t *testing.T, m *meter, want float64) {
 	t.Helper()
-	if got := m.lasting(); got != want {
+	if got := m.sustainedPace(); got != want {
 		t.Errorf("%.0f ms an event are expected to last, want %.0f", got, want)
 	}
 }
@@ -66,13 +66,13 @@
 // place of 36. Texts left it for that, and their prompts were read again elsewhere.
 func TestSlowSpell(t *testing.T) {
 	t.Run("a spell does not count where engines share machines", func(t *testing.T) {
-		assertLasting(t, paced(paced(&meter{shares: true}, 9, 36), 7, 90), 36)
+		assertLasting(t, paced(paced(&meter{sharesMachine: true}, 9, 36), 7, 90), 36)
 	})
 	t.Run("what lasts does", func(t *testing.T) {
-		assertLasting(t, paced(paced(&meter{shares: true}, 9, 36), 16, 90), 90)
+		assertLasting(t, paced(paced(&meter{sharesMachine: true}, 9, 36), 16, 90), 90)
 	})
 	t.Run("nothing is known after one span", func(t *testing.T) {
-		assertLasting(t, paced(&meter{shares: true}, 9, 90), 0)
+		assertLasting(t, paced(&meter{sharesMachine: true}, 9, 90), 0)
 	})
 	t.Run("elsewhere the last span counts", func(t *testing.T) {
 		assertLasting(t, paced(paced(&meter{}, 9, 36), 8, 90), 90)
--- a/croftmoor/batch/patient_test.go
+++ b/croftmoor/batch/patient_test.go
@@ -42,8 +42,8 @@
 func TestSpeedIsOfAnEmptyEngine(t *testing.T) {
 	beside := jobs.Load{Items: 10, Expect: 20000}
 	m := &meter{events: 101, first: 1000, last: 1000 + clock.Millis(3600*deal.Slowdown(beside))}
-	m.look(beside)
-	if got := m.speed("e"); got.Events != 100 || got.Millis < 3598 || got.Millis > 3601 {
+	m.sampleLoad(beside)
+	if got := m.timing("e"); got.Events != 100 || got.Millis < 3598 || got.Millis > 3601 {
 		t.Errorf("speed %+v, want 100 events in 3,600 ms", got)
 	}
 }
--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// firstTerm is how long an engine may take to its first event, queuedTerm if the
+	// firstEventTimeout is how long an engine may take to its first event, queuedTerm if the
 	// item may have to wait there for a slot, and gapTerm how long between two events,
 	// before the rest is run elsewhere. Of 1,183 first events of a quiet day one in a
 	// thousand took longer than 0.9 s; an event takes some 50 ms on a full engine and
 	// four times that on a slow one.
-	firstTerm  = 1200 * clock.Millis(1)
-	queuedTerm = 3 * clock.Second
-	gapTerm    = 600 * clock.Millis(1)
-	// avoidBusy and avoidBroken are how long, in milliseconds, an engine gets no
+	firstEventTimeout  = 1200 * clock.Millis(1)
+	queuedEventTimeout = 3 * clock.Second
+	eventGapTimeout    = 600 * clock.Millis(1)
+	// avoidBusyMillis and avoidBroken are how long, in milliseconds, an engine gets no
 	// items after it had no room, or broke an answer off.
-	avoidBusy   = 400
-	avoidBroken = 1500
-	// finishTerm and yieldTerm bound the writing of a result or of a beginning;
+	avoidBusyMillis   = 400
+	avoidBrokenMillis = 1500
+	// finishTimeout and yieldTerm bound the writing of a result or of a beginning;
 	// after them the claim has long been replaced.
-	finishTerm = 15 * clock.Second
-	yieldTerm  = 2 * clock.Second
-	rewardGap  = 30 * clock.Millis(1)
+	finishTimeout = 15 * clock.Second
+	yieldTimeout  = 2 * clock.Second
+	rewardRetryPause  = 30 * clock.Millis(1)
 )
 
 // perform runs a claimed item to its result, or gives it back.
@@ -42,23 +42,23 @@
 	made := &progress{runner: r, claim: c}
 	item, err := r.load(ctx, made)
 	if err != nil {
-		r.giveBack(ctx, made, jobs.Yield{}, "kept data: "+err.Error())
+		r.yieldItem(ctx, made, jobs.Yield{}, "kept data: "+err.Error())
 		return
 	}
 	if left, why := r.held(item); left > 0 {
-		r.putOff(ctx, made, left, why)
+		r.deferItem(ctx, made, left, why)
 		return
 	}
 	meter := &meter{clock: r.Clock, began: r.Clock.Mono()}
-	r.Ledger.View(func(b *jobs.State) { meter.look(beside(b, c.item)) })
+	r.Ledger.View(func(b *jobs.State) { meter.sampleLoad(otherLoad(b, c.item)) })
 	if !made.whole {
 		if err := r.generate(ctx, item, made, meter); err != nil {
-			r.noteEnd(ctx, item, made, err)
-			r.broken(ctx, made, meter, err)
+			r.reportEngineEnd(ctx, item, made, err)
+			r.handleFailure(ctx, made, meter, err)
 			return
 		}
 		made.whole = true
-		r.answered(item)
+		r.reportAnswered(item)
 	}
 	own.made.Store(true)
 	r.complete(ctx, item, made, meter)
@@ -67,7 +67,7 @@
 // load reads the item and takes over what was kept of its text.
 func (r *Runner) load(ctx context.Context, made *progress) (work.Item, error) {
 	c := made.claim
-	data, err := r.body(ctx, &c.item)
+	data, err := r.readBody(ctx, &c.item)
 	if err != nil {
 		return work.Item{}, err
 	}
@@ -76,12 +76,12 @@
 		made.events, made.versions, made.whole = partial.Events, slices.Clone(partial.Versions), partial.Complete
 	}
 	item, err := work.Decode(data)
-	item.Organisation, item.Priority = c.accept.Organisation, r.urgent(c.accept)
+	item.Organisation, item.Priority = c.accept.Organisation, r.priority(c.accept)
 	return item, err
 }
 
-// urgent returns the rank of a job's items: its organisation's, or else its route's.
-func (r *Runner) urgent(accept jobs.Accept) int {
+// priority returns the rank of a job's items: its organisation's, or else its route's.
+func (r *Runner) priority(accept jobs.Accept) int {
 	table := r.Routes()
 	if table == nil {
 		return 0
@@ -92,51 +92,51 @@
 
 // generate has an engine make the rest of the text.
 func (r *Runner) generate(ctx context.Context, item work.Item, made *progress, meter *meter) error {
-	engine, ok := r.member(made.claim)
+	engine, ok := r.engineOf(made.claim)
 	if !ok || engine.State == fleet.Leaving || r.Fleet.MarkedLeaving(engine.Name) {
 		return fault.New("batch.generate", NotRun, "the engine has left, or is leaving")
 	}
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := r.Clock.AfterFunc(r.silenceTerm(made.claim, engine), func() { cancel(context.DeadlineExceeded) })
+	silence := r.Clock.AfterFunc(r.silenceTimeout(made.claim, engine), func() { cancel(context.DeadlineExceeded) })
 	defer silence.Stop()
 	events, err := r.Engines.Run(runCtx, engine, item, made.events)
 	if err != nil {
-		return silent(runCtx, err)
+		return silentError(runCtx, err)
 	}
 	defer events.Close()
-	meter.shares = events.Shares()
+	meter.sharesMachine = events.Shares()
 	for {
 		event, more, err := events.Next()
 		if err != nil {
-			return silent(runCtx, err)
+			return silentError(runCtx, err)
 		}
 		if !more {
 			return nil
 		}
-		if err := allowed(made, event); err != nil {
+		if err := checkEvent(made, event); err != nil {
 			return err
 		}
 		made.add(event)
-		meter.note()
-		silence.Reset(gapTerm.Duration())
+		meter.recordEvent()
+		silence.Reset(eventGapTimeout.Duration())
 		made.keepSome(ctx)
-		if meter.due() && r.better(made.claim, made.events, meter) {
+		if meter.comparisonDue() && r.shouldMove(made.claim, made.events, meter) {
 			return fault.New("batch.generate", Slow, fmt.Sprintf("%.0f ms an event", meter.pace()))
 		}
 	}
 }
 
-// silent returns the error of a run, which is Silent if the engine was waited for in vain.
-func silent(runCtx context.Context, err error) error {
+// silentError returns the error of a run, which is Silent if the engine was waited for in vain.
+func silentError(runCtx context.Context, err error) error {
 	if errors.Is(context.Cause(runCtx), context.DeadlineExceeded) {
 		return fault.Wrap("batch.generate", Silent, err, "no event in time")
 	}
 	return err
 }
 
-// silenceTerm returns how long an engine may take to the first event of an item.
-func (r *Runner) silenceTerm(c claimed, engine fleet.Member) clock.Millis {
+// silenceTimeout returns how long an engine may take to the first event of an item.
+func (r *Runner) silenceTimeout(c claimed, engine fleet.Member) clock.Millis {
 	slots := engine.Slots
 	if table := r.Routes(); slots == 0 && table != nil {
 		slots = table.Services[c.accept.Service].Slots
@@ -144,13 +144,13 @@
 	running := 0
 	r.Ledger.View(func(b *jobs.State) { running = b.Loads[c.item.Engine].Items })
 	if running > slots {
-		return queuedTerm
+		return queuedEventTimeout
 	}
-	return firstTerm
+	return firstEventTimeout
 }
 
-// allowed tells whether an event may follow what has been made.
-func allowed(made *progress, event Event) error {
+// checkEvent tells whether an event may follow what has been made.
+func checkEvent(made *progress, event Event) error {
 	accept := made.claim.accept
 	if event.Index != made.events+1 {
 		return fault.New("batch.generate", Broken, fmt.Sprintf("event %d after %d", event.Index, made.events))
@@ -164,7 +164,7 @@
 	return nil
 }
 
-func (r *Runner) member(c claimed) (fleet.Member, bool) {
+func (r *Runner) engineOf(c claimed) (fleet.Member, bool) {
 	for _, m := range r.Fleet.View().Backends[c.accept.Service] {
 		if m.Name == string(c.item.Engine) {
 			return m, true
@@ -173,15 +173,15 @@
 	return fleet.Member{}, false
 }
 
-// broken ends a run that did not come to the end of its text: it is given up if
+// handleFailure ends a run that did not come to the end of its text: it is given up if
 // that is for good, else given back, and the others are told of the engine.
-func (r *Runner) broken(ctx context.Context, made *progress, meter *meter, err error) {
+func (r *Runner) handleFailure(ctx context.Context, made *progress, meter *meter, err error) {
 	c := made.claim
 	kind := fault.KindOf[EngineKind](err)
 	reason := string(kind) + ": " + err.Error()
-	yield := jobs.Yield{Failed: kind == Failed, Timing: meter.speed(c.item.Engine)}
+	yield := jobs.Yield{Failed: kind == Failed, Timing: meter.timing(c.item.Engine)}
 	if ctx.Err() != nil {
-		r.giveBack(ctx, made, yield, "stopped")
+		r.yieldItem(ctx, made, yield, "stopped")
 		return
 	}
 	attempts := 1
@@ -194,59 +194,59 @@
 		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedOn)+1, attempts, reason))
 		return
 	case kind == Busy:
-		pause = avoidBusy
+		pause = avoidBusyMillis
 	case kind != Failed && kind != Slow:
-		pause = avoidBroken
+		pause = avoidBrokenMillis
 	}
 	if pause > 0 {
 		// The engine is told of together with the item: an append and its way back more
 		// would keep the item from its next engine for some 50 ms, and for 2 s while the
 		// log is away.
-		r.giveBack(ctx, made, yield, reason, jobs.Avoid{By: r.Self, Engine: c.item.Engine, Millis: pause})
+		r.yieldItem(ctx, made, yield, reason, jobs.Avoid{By: r.Self, Engine: c.item.Engine, Millis: pause})
 		return
 	}
-	r.giveBack(ctx, made, yield, reason)
+	r.yieldItem(ctx, made, yield, reason)
 }
 
-// tell appends records and waits until they have been read back, so that this
+// appendAndAwait appends records and waits until they have been read back, so that this
 // instance does not act on the state before them: it would begin an item anew that
 // it has just given back.
-func (r *Runner) tell(ctx context.Context, c claimed, records ...jobs.Record) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTerm.Duration())
+func (r *Runner) appendAndAwait(ctx context.Context, c claimed, records ...jobs.Record) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTimeout.Duration())
 	defer cancel()
 	offset, err := r.Ledger.Append(ctx, records...)
 	if err == nil {
 		err = r.Ledger.Await(ctx, offset+ident.Offset(len(records)))
 	}
 	if err != nil {
-		r.note(c, trail.Hold, "not told", err.Error())
+		r.logDecision(c, trail.Hold, "not told", err.Error())
 	}
 }
 
-func (r *Runner) note(c claimed, action trail.Action, choice, reason string) {
+func (r *Runner) logDecision(c claimed, action trail.Action, choice, reason string) {
 	r.Trail.Add(trail.Decision{ID: string(c.item.ID), Action: action, Choice: choice, Reason: reason})
 }
 
-// giveBack yields an item, keeping what was made of it; before it come the given
+// yieldItem yields an item, keeping what was made of it; before it come the given
 // records.
-func (r *Runner) giveBack(ctx context.Context, made *progress, yield jobs.Yield, reason string, before ...jobs.Record) {
+func (r *Runner) yieldItem(ctx context.Context, made *progress, yield jobs.Yield, reason string, before ...jobs.Record) {
 	c := made.claim
-	r.note(c, trail.Cancel, string(c.item.Engine), fmt.Sprintf("%s; %d events made", reason, made.events))
-	keepCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTerm.Duration())
+	r.logDecision(c, trail.Cancel, string(c.item.Engine), fmt.Sprintf("%s; %d events made", reason, made.events))
+	keepCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTimeout.Duration())
 	defer cancel()
 	kept, err := made.keepAll(keepCtx)
 	if err != nil {
-		r.note(c, trail.Hold, "progress not kept", err.Error())
+		r.logDecision(c, trail.Hold, "progress not kept", err.Error())
 	}
 	yield.Job, yield.By, yield.Index, yield.Partial = c.key.Job, r.Self, c.key.Index, kept
-	r.tell(ctx, c, append(before, yield)...)
+	r.appendAndAwait(ctx, c, append(before, yield)...)
 }
 
 // complete scores a whole text, keeps it, and lists the result. It goes on when
 // the claim is replaced meanwhile: the first result counts.
 func (r *Runner) complete(ctx context.Context, item work.Item, made *progress, meter *meter) {
 	c := made.claim
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTerm.Duration())
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout.Duration())
 	defer cancel()
 	var kept jobs.Partial
 	var score string
@@ -261,18 +261,18 @@
 		return
 	}
 	if fault.KindOf[RewardKind](scoreErr) == RewardHeld {
-		r.putOff(ctx, made, putOffTerm, scoreErr.Error())
+		r.deferItem(ctx, made, maxDefer, scoreErr.Error())
 		return
 	}
 	if keepErr != nil || scoreErr != nil {
-		r.giveBack(ctx, made, jobs.Yield{}, fmt.Sprintf("text kept: %v, scored: %v", keepErr, scoreErr))
+		r.yieldItem(ctx, made, jobs.Yield{}, fmt.Sprintf("text kept: %v, scored: %v", keepErr, scoreErr))
 		return
 	}
-	speed := meter.speed(c.item.Engine)
+	speed := meter.timing(c.item.Engine)
 	r.finish(ctx, c, jobs.Finish{
 		Outcome: jobs.Completed, Versions: made.versions, Score: score, Texts: kept.Texts, Events: made.events, Timing: speed,
 	}, fmt.Sprintf("%d events in %d ms, %d in all, the first after %d ms, kept and scored in %d ms",
-		speed.Events, meter.last-meter.first, made.events, meter.waited(), r.Clock.Mono()-began))
+		speed.Events, meter.last-meter.first, made.events, meter.timeToFirstEvent(), r.Clock.Mono()-began))
 }
 
 // score asks for the reward until it comes, fails for good, is no longer wanted,
@@ -301,7 +301,7 @@
 		} else {
 			lost++
 		}
-		if !r.Clock.Sleep(ctx, rewardGap) {
+		if !r.Clock.Sleep(ctx, rewardRetryPause) {
 			return "", fault.Wrap("batch.score", RewardLost, ctx.Err(), "stopped while scoring")
 		}
 	}
@@ -320,13 +320,13 @@
 // finish lists a result.
 func (r *Runner) finish(ctx context.Context, c claimed, f jobs.Finish, reason string) {
 	f.Job, f.By, f.Index = c.key.Job, r.Self, c.key.Index
-	ctx, cancel := context.WithTimeout(ctx, finishTerm.Duration())
+	ctx, cancel := context.WithTimeout(ctx, finishTimeout.Duration())
 	defer cancel()
 	offset, err := r.Ledger.Append(ctx, f)
 	if err != nil {
 		reason += "; not listed: " + err.Error()
 	}
-	r.note(c, trail.Hand, string(f.Outcome), fmt.Sprintf("%s, offset %d", reason, offset))
+	r.logDecision(c, trail.Hand, string(f.Outcome), fmt.Sprintf("%s, offset %d", reason, offset))
 	if err != nil {
 		return
 	}
@@ -334,6 +334,6 @@
 		r.Counts.Listed()
 	}
 	if err := r.Ledger.Await(ctx, offset+1); err != nil {
-		r.note(c, trail.Hold, "not read back", err.Error())
+		r.logDecision(c, trail.Hold, "not read back", err.Error())
 	}
 }
--- a/croftmoor/batch/progress.go
+++ b/croftmoor/batch/progress.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// keepPeriod is the pause between two times that the progress of a run is
+	// savePeriod is the pause between two times that the progress of a run is
 	// kept, and keepEvents the least progress that is worth it: what is lost with
 	// an instance or an engine is at most about so much.
-	keepPeriod = 800 * clock.Millis(1)
+	savePeriod = 800 * clock.Millis(1)
 	keepEvents = 8
 )
 
@@ -66,7 +66,7 @@
 	now := p.runner.Clock.Mono()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.runner.Without.Enabled(toggle.Progress) || p.keeping || now-p.last < keepPeriod || len(p.fresh) < keepEvents {
+	if !p.runner.Without.Enabled(toggle.Progress) || p.keeping || now-p.last < savePeriod || len(p.fresh) < keepEvents {
 		return
 	}
 	p.keeping, p.last = true, now
--- a/croftmoor/batch/race_test.go
+++ b/croftmoor/batch/race_test.go
@@ -67,7 +67,7 @@
 func (s *scene) planAll() {
 	for n, r := range s.runners {
 		s.catchUp(n, len(s.log))
-		r.plan()
+		r.planClaims()
 	}
 }
 
@@ -79,7 +79,7 @@
 			delete(r.pending, key)
 		}
 	}
-	for _, c := range r.plan() {
+	for _, c := range r.planClaims() {
 		for _, target := range c.Targets {
 			key := jobs.ItemKey{Job: c.Job, Index: target.Index}
 			r.pending[key] = true
@@ -199,13 +199,13 @@
 		if len(s.claims) > 0 {
 			t.Errorf("%d items claimed before the dealer had its time", len(s.claims))
 		}
-		s.clock.Advance(idleTerm)
+		s.clock.Advance(idleBeforeOwnShare)
 		s.play(6)
 		if shared := len(s.claims); shared < items*4/5 {
 			t.Errorf("%d of %d items were claimed without the dealer", shared, items)
 		}
 		s.wantClaims(len(s.claims), 1.05)
-		s.clock.Advance(aloneTerm)
+		s.clock.Advance(idleBeforeAnyItem)
 		s.play(6)
 		s.wantClaims(items, 1.5)
 	})
--- a/croftmoor/batch/runner.go
+++ b/croftmoor/batch/runner.go
@@ -82,7 +82,7 @@
 	r.runs = map[jobs.ItemKey]*run{}
 	r.pending = map[jobs.ItemKey]bool{}
 	r.idle = map[ident.BackendName]clock.Millis{}
-	r.looked = -lookPause
+	r.looked = -idleCheckPeriod
 	r.fetched = map[ident.Job]bool{}
 	r.kick = make(chan struct{}, 1)
 }
@@ -150,7 +150,7 @@
 		}
 		r.collect(b, mine)
 	})
-	r.prefetch(ctx, open)
+	r.schedulePrefetch(ctx, open)
 	starts := r.startsListed()
 	for key, run := range r.runs {
 		c, ok := mine[key]
@@ -252,10 +252,10 @@
 		return
 	}
 	if !r.Ledger.Fresh() {
-		r.goOn(ctx)
+		r.beginWithoutClaims(ctx)
 		return
 	}
-	claims := append(r.late(), r.plan()...)
+	claims := append(r.lateClaims(), r.planClaims()...)
 	if len(claims) == 0 {
 		return
 	}
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -77,7 +77,7 @@
 		}
 		s.accepts[job.Job] = accept
 	}
-	s.actor = r.actors.at(b, r.Fleet.View(), r.Clock.Mono(), since)
+	s.actor = r.actors.refresh(b, r.Fleet.View(), r.Clock.Mono(), since)
 	r.addEngines(s, table)
 	return s
 }
@@ -158,7 +158,7 @@
 	if due == 0 || job.FromBacklog || !s.without.Enabled(toggle.Patience) {
 		return false
 	}
-	events := float64(item.Expect) / eventTokens
+	events := float64(item.Expect) / tokensPerEvent
 	term := clock.Millis(estimateError * events * s.median)
 	return s.now+term+spareTerm < job.SeenAt+due
 }
--- a/croftmoor/batch/survey_bench_test.go
+++ b/croftmoor/batch/survey_bench_test.go
@@ -87,7 +87,7 @@
 			r := crowd(size.instances, size.engines, size.jobs)
 			b.ReportAllocs()
 			for b.Loop() {
-				r.plan()
+				r.planClaims()
 			}
 		})
 	}
