--- a/croftmoor/batch/ahead_test.go
+++ b/croftmoor/batch/ahead_test.go
@@ -40,7 +40,7 @@
 			blobs := &countingBlobs{reads: map[jobs.Span]int{}}
 			waiting := 0
 			for n := range instances {
-				r := crowd(instances, 44, 1)
+				r := newTestRunner(instances, 44, 1)
 				r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 				r.Blobs = blobs
 				r.Ledger.View(func(b *jobs.State) {
--- a/croftmoor/batch/alone.go
+++ b/croftmoor/batch/alone.go
@@ -34,11 +34,11 @@
 	defer r.mu.Unlock()
 	var toBegin []claimed
 	r.Ledger.View(func(b *jobs.State) {
-		s := r.survey(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
+		s := r.snapshot(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
 		if s == nil {
 			return
 		}
-		s.addPieces()
+		s.addItems()
 		for _, d := range deal.Assign(r.ownItems(s), r.ownEngines(s), 0, s.allowed) {
 			job := b.Jobs[d.Item.Job]
 			item := *s.item(d.Item)
@@ -57,10 +57,10 @@
 
 // ownItems returns the waiting items that fall to engines of this instance and that it
 // does not run already; mu is held.
-func (r *Runner) ownItems(s *survey) []deal.RankedItem {
+func (r *Runner) ownItems(s *snapshot) []deal.RankedItem {
 	var own []deal.RankedItem
 	rendezvous := deal.NewRendezvous(s.engines, s.allowed)
-	for _, p := range s.pieces {
+	for _, p := range s.items {
 		if r.runs[jobs.ItemKey{Job: p.Job, Index: p.Target.Index}] != nil {
 			continue
 		}
@@ -83,7 +83,7 @@
 }
 
 // actingInstances returns the instances that act for engines which may get items.
-func (s *survey) actingInstances() []views.Member {
+func (s *snapshot) actingInstances() []views.Member {
 	known := map[ident.InstanceName]bool{}
 	var actors []views.Member
 	for _, e := range s.engines {
@@ -97,10 +97,10 @@
 
 // ownEngines returns the engines that this instance acts for, with the load of
 // its own runs: the ledger's does not fall while it can't be read; mu is held.
-func (r *Runner) ownEngines(s *survey) []deal.Engine {
+func (r *Runner) ownEngines(s *snapshot) []deal.Engine {
 	loads := map[ident.BackendName]int{}
 	for _, run := range r.runs {
-		if !run.made.Load() {
+		if !run.generated.Load() {
 			loads[run.engine]++
 		}
 	}
@@ -120,7 +120,7 @@
 	defer r.mu.Unlock()
 	var claims []jobs.Claim
 	for key, run := range r.runs {
-		if run.claim == 0 && !run.made.Load() && !r.pending[key] {
+		if run.claim == 0 && !run.generated.Load() && !r.pending[key] {
 			claims = append(claims, jobs.Claim{Job: key.Job, By: r.Self, Engine: run.engine, Targets: []jobs.Target{{Index: key.Index}}})
 		}
 	}
@@ -135,7 +135,7 @@
 // schedulePrefetch has the bodies of jobs read that have just come; mu is held.
 func (r *Runner) schedulePrefetch(ctx context.Context, open map[ident.Job]bool) {
 	for id := range open {
-		if r.fetched[id] {
+		if r.prefetched[id] {
 			continue
 		}
 		pause := prefetchWindow/2 + clock.Millis(ident.Hash(string(id), string(r.Self))%uint64(prefetchWindow/2))
@@ -145,7 +145,7 @@
 			}
 		})
 	}
-	r.fetched = open
+	r.prefetched = open
 }
 
 // prefetchJob reads the bodies of those waiting items of a job into the cache of which this
@@ -175,13 +175,13 @@
 		if job := b.Jobs[id]; job == nil || !job.Open() || job.Waiting == 0 {
 			return
 		}
-		s := r.survey(b, table, r.Ledger.QuietSince())
+		s := r.snapshot(b, table, r.Ledger.QuietSince())
 		if s == nil {
 			return
 		}
-		s.addPieces()
+		s.addItems()
 		actors := s.actingInstances()
-		for _, p := range s.pieces {
+		for _, p := range s.items {
 			if p.Job != id {
 				continue
 			}
@@ -227,7 +227,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ledger.View(func(b *jobs.State) {
-		s := r.survey(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
+		s := r.snapshot(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
 		if s == nil {
 			return
 		}
--- a/croftmoor/batch/alone_test.go
+++ b/croftmoor/batch/alone_test.go
@@ -12,17 +12,17 @@
 	shared := 0
 	waiting := 0
 	for n := range 4 {
-		r := crowd(4, 1, 1)
+		r := newTestRunner(4, 1, 1)
 		r.Self = ident.InstanceName([]string{"front-0", "front-1", "front-2", "front-3"}[n])
 		list := r.Fleet.View().Backends["models"]
 		for _, zone := range []ident.Zone{"z-1", "z-2", "z-3"} {
 			list = append(list, fleet.Member{Name: "plain-" + string(zone), Kind: fleet.Backend, Service: "plain", Zone: zone})
 		}
 		r.Fleet.Set(list)
-		ledger, _ := r.Ledger.(*bookLedger)
-		s := r.survey(ledger.book, r.Routes(), ledger.QuietSince())
-		s.addPieces()
-		waiting = len(s.pieces)
+		ledger, _ := r.Ledger.(*stateLedger)
+		s := r.snapshot(ledger.state, r.Routes(), ledger.QuietSince())
+		s.addItems()
+		waiting = len(s.items)
 		mine := r.ownItems(s)
 		shared += len(mine)
 		if len(mine) > 0 && len(r.ownEngines(s)) == 0 {
--- a/croftmoor/batch/away_test.go
+++ b/croftmoor/batch/away_test.go
@@ -15,25 +15,25 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// awayLedger is a ledger that was read to its end and answers no more.
-type awayLedger struct{ *bookLedger }
+// unreachableLedger is a ledger that was read to its end and answers no more.
+type unreachableLedger struct{ *stateLedger }
 
-func (l awayLedger) Fresh() bool       { return false }
-func (l awayLedger) Away() bool        { return true }
-func (l awayLedger) Age() clock.Millis { return 2 * clock.Second }
-func (l awayLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
+func (l unreachableLedger) Fresh() bool       { return false }
+func (l unreachableLedger) Away() bool        { return true }
+func (l unreachableLedger) Age() clock.Millis { return 2 * clock.Second }
+func (l unreachableLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
 	return 0, errors.New("away")
 }
 
-// fullEngines notes where each item is begun, and never ends one.
-type fullEngines struct {
+// blockingEngines notes where each item is begun, and never ends one.
+type blockingEngines struct {
 	mu sync.Mutex
 	at map[ident.Item][]ident.BackendName
 }
 
-func (*fullEngines) Ended(context.Context, fleet.Member) bool { return false }
+func (*blockingEngines) Ended(context.Context, fleet.Member) bool { return false }
 
-func (e *fullEngines) Run(ctx context.Context, engine fleet.Member, item work.Item, _ int) (Events, error) {
+func (e *blockingEngines) Run(ctx context.Context, engine fleet.Member, item work.Item, _ int) (Events, error) {
 	e.mu.Lock()
 	e.at[item.ID] = append(e.at[item.ID], ident.BackendName(engine.Name))
 	e.mu.Unlock()
@@ -41,14 +41,14 @@
 	return nil, fault.New("t", Broken, "stopped")
 }
 
-// itemBlobs has every body, as instances have read them ahead.
-type itemBlobs struct{ countingBlobs }
+// replicaBlobs has every body, as instances have read them ahead.
+type replicaBlobs struct{ countingBlobs }
 
-func (b *itemBlobs) Get(context.Context, jobs.Span) ([]byte, error) {
+func (b *replicaBlobs) Get(context.Context, jobs.Span) ([]byte, error) {
 	return nil, errors.New("away")
 }
 
-func (b *itemBlobs) FetchFrom(_ context.Context, _ ident.Address, span jobs.Span) ([]byte, error) {
+func (b *replicaBlobs) FetchFrom(_ context.Context, _ ident.Address, span jobs.Span) ([]byte, error) {
 	return work.Encode(work.Item{ID: ident.Item(fmt.Sprintf("0-%d", span.First))})
 }
 
@@ -57,25 +57,25 @@
 // each at one engine that can run it, as many as these have slots for.
 func TestItemsBeginWhileTheLogIsAway(t *testing.T) {
 	const instances, engines, slots = 20, 44, 8
-	began := &fullEngines{at: map[ident.Item][]ident.BackendName{}}
+	began := &blockingEngines{at: map[ident.Item][]ident.BackendName{}}
 	ctx, stop := context.WithCancel(t.Context())
 	var runners []*Runner
 	for n := range instances {
-		r := crowd(instances, engines, 0)
+		r := newTestRunner(instances, engines, 0)
 		r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
-		ledger, _ := r.Ledger.(*bookLedger)
-		r.Ledger, r.Engines, r.Blobs = awayLedger{ledger}, began, &itemBlobs{}
+		ledger, _ := r.Ledger.(*stateLedger)
+		r.Ledger, r.Engines, r.Blobs = unreachableLedger{ledger}, began, &replicaBlobs{}
 		accept := jobs.Accept{Job: "job-0", Host: "h", Prefix: "/p/", Service: "models", Model: "m", MinVersion: 2}
 		for i := range 160 {
 			accept.Items = append(accept.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("0-%d", i)), Expect: 100, Body: jobs.Span{First: ident.Offset(i), Count: 1}})
 		}
-		ledger.book.Apply(ledger.book.Next+1, accept, r.Clock.Mono())
+		ledger.state.Apply(ledger.state.Next+1, accept, r.Clock.Mono())
 		for m := range instances {
 			by := ident.InstanceName(fmt.Sprintf("front-%d", m))
-			ledger.book.Members[by].Address = ident.Address(by)
+			ledger.state.Members[by].Address = ident.Address(by)
 		}
 		for e := 0; e < engines; e += 4 {
-			ledger.book.Apply(ledger.book.Next+1, jobs.Loaded{Engine: ident.BackendName(fmt.Sprintf("engine-%d", e)), Model: "m", Version: 2}, r.Clock.Mono())
+			ledger.state.Apply(ledger.state.Next+1, jobs.Loaded{Engine: ident.BackendName(fmt.Sprintf("engine-%d", e)), Model: "m", Version: 2}, r.Clock.Mono())
 		}
 		runners = append(runners, r)
 		r.beginWithoutClaims(ctx)
@@ -110,7 +110,7 @@
 }
 
 // silentBlobs never answers from the log.
-type silentBlobs struct{ itemBlobs }
+type silentBlobs struct{ replicaBlobs }
 
 func (b *silentBlobs) Get(ctx context.Context, _ jobs.Span) ([]byte, error) {
 	<-ctx.Done()
@@ -120,7 +120,7 @@
 // While the log takes calls and says nothing, an item's body comes from an instance that has
 // read it ahead, and not only when all tries at the log have run out of their time.
 func TestBodyOfASilentLog(t *testing.T) {
-	r := crowd(4, 4, 1)
+	r := newTestRunner(4, 4, 1)
 	r.Blobs = &silentBlobs{}
 	var item jobs.Item
 	r.Ledger.View(func(b *jobs.State) {
@@ -133,7 +133,7 @@
 	defer cancel()
 	began := r.Clock.Mono()
 	_, err := r.readBody(ctx, &item)
-	if took := r.Clock.Mono() - began; err != nil || took > bodyReadTimeout+clock.Second/2 {
-		t.Errorf("error %v after %d ms, want the body after %d", err, took, bodyReadTimeout)
+	if elapsed := r.Clock.Mono() - began; err != nil || elapsed > bodyReadTimeout+clock.Second/2 {
+		t.Errorf("error %v after %d ms, want the body after %d", err, elapsed, bodyReadTimeout)
 	}
 }
--- a/croftmoor/batch/back_test.go
+++ b/croftmoor/batch/back_test.go
@@ -12,15 +12,15 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// notingLedger notes the records of each append.
-type notingLedger struct {
-	*bookLedger
+// recordingLedger notes the records of each append.
+type recordingLedger struct {
+	*stateLedger
 	appends [][]jobs.Record
 }
 
-func (l *notingLedger) Append(_ context.Context, records ...jobs.Record) (ident.Offset, error) {
+func (l *recordingLedger) Append(_ context.Context, records ...jobs.Record) (ident.Offset, error) {
 	l.appends = append(l.appends, records)
-	return l.book.Next, nil
+	return l.state.Next, nil
 }
 
 // busyEngines have no room.
@@ -32,28 +32,28 @@
 	return nil, fault.New("t", Busy, "full")
 }
 
-// sureBlobs has an item's body.
-type sureBlobs struct{ countingBlobs }
+// bodyBlobs has an item's body.
+type bodyBlobs struct{ countingBlobs }
 
-func (b *sureBlobs) Get(context.Context, jobs.Span) ([]byte, error) {
+func (b *bodyBlobs) Get(context.Context, jobs.Span) ([]byte, error) {
 	return work.Encode(work.Item{ID: "0-0"})
 }
 
 // An item that an engine has no room for goes on to its next one after one append.
 func TestItemsAreGivenBackInOneAppend(t *testing.T) {
-	r := crowd(4, 4, 1)
-	book, _ := r.Ledger.(*bookLedger)
-	ledger := &notingLedger{bookLedger: book}
-	r.Ledger, r.Engines, r.Blobs = ledger, busyEngines{}, &sureBlobs{}
-	item := book.book.Jobs["job-0"].Items[0]
+	r := newTestRunner(4, 4, 1)
+	book, _ := r.Ledger.(*stateLedger)
+	ledger := &recordingLedger{stateLedger: book}
+	r.Ledger, r.Engines, r.Blobs = ledger, busyEngines{}, &bodyBlobs{}
+	item := book.state.Jobs["job-0"].Items[0]
 	item.Engine = "engine-0"
-	r.perform(t.Context(), claimed{key: jobs.ItemKey{Job: "job-0"}, item: item, accept: book.book.Jobs["job-0"].Accept}, &run{})
+	r.perform(t.Context(), claimed{key: jobs.ItemKey{Job: "job-0"}, item: item, accept: book.state.Jobs["job-0"].Accept}, &run{})
 	if len(ledger.appends) != 1 || len(ledger.appends[0]) != 2 {
 		t.Fatalf("appends %v, want one of two records", ledger.appends)
 	}
-	avoid, told := ledger.appends[0][0].(jobs.Avoid)
-	yield, given := ledger.appends[0][1].(jobs.Yield)
-	if !told || !given || avoid.Engine != "engine-0" || clock.Millis(avoid.Millis) != avoidBusyMillis || yield.Job != "job-0" {
+	avoid, avoided := ledger.appends[0][0].(jobs.Avoid)
+	yield, yielded := ledger.appends[0][1].(jobs.Yield)
+	if !avoided || !yielded || avoid.Engine != "engine-0" || clock.Millis(avoid.Millis) != avoidBusyMillis || yield.Job != "job-0" {
 		t.Errorf("records %+v, want the engine avoided and the item given back", ledger.appends[0])
 	}
 }
--- a/croftmoor/batch/batch.go
+++ b/croftmoor/batch/batch.go
@@ -105,7 +105,7 @@
 
 // Ledger is the shared state as this package uses it.
 type Ledger interface {
-	View(look func(*jobs.State))
+	View(visit func(*jobs.State))
 	Changed() <-chan struct{}
 	Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error)
 	Await(ctx context.Context, next ident.Offset) error
--- a/croftmoor/batch/dealer.go
+++ b/croftmoor/batch/dealer.go
@@ -67,26 +67,26 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ledger.View(func(b *jobs.State) {
-		s := r.survey(b, table, r.Ledger.QuietSince())
+		s := r.snapshot(b, table, r.Ledger.QuietSince())
 		if s == nil {
-			clear(r.idle)
+			clear(r.idleSince)
 			return
 		}
-		dealt := func(e deal.Engine) bool { return r.dealer(s.services[e.Name]) == r.Self }
-		if s.room(dealt, overbook) {
-			s.addPieces()
-			claims = r.newClaims(s, deal.Assign(s.pieces, s.only(dealt), overbook, s.allowed))
+		dealtHere := func(e deal.Engine) bool { return r.dealer(s.services[e.Name]) == r.Self }
+		if s.hasRoom(dealtHere, overbook) {
+			s.addItems()
+			claims = r.newClaims(s, deal.Assign(s.items, s.enginesWhere(dealtHere), overbook, s.allowed))
 		}
-		own := func(e deal.Engine) bool { return s.actor[e.Name] == r.Self && !dealt(e) }
-		if s.now < r.looked+idleCheckPeriod {
+		own := func(e deal.Engine) bool { return s.actor[e.Name] == r.Self && !dealtHere(e) }
+		if s.now < r.lastIdleCheck+idleCheckPeriod {
 			return
 		}
-		r.looked = s.now
-		if s.room(own, 0) {
-			s.addPieces()
+		r.lastIdleCheck = s.now
+		if s.hasRoom(own, 0) {
+			s.addItems()
 			claims = append(claims, r.claimsForIdleEngines(s, own)...)
 		} else {
-			clear(r.idle)
+			clear(r.idleSince)
 		}
 	})
 	return claims
@@ -94,57 +94,57 @@
 
 // claimsForIdleEngines returns claims for engines that this instance acts for and that have had
 // room for long without the dealer giving them an item.
-func (r *Runner) claimsForIdleEngines(s *survey, own func(deal.Engine) bool) []jobs.Claim {
+func (r *Runner) claimsForIdleEngines(s *snapshot, own func(deal.Engine) bool) []jobs.Claim {
 	idle := map[ident.BackendName]clock.Millis{}
 	longest := clock.Millis(0)
-	for _, d := range deal.Assign(s.pieces, s.only(own), 0, s.allowed) {
-		since, known := r.idle[d.Engine]
+	for _, d := range deal.Assign(s.items, s.enginesWhere(own), 0, s.allowed) {
+		since, known := r.idleSince[d.Engine]
 		if !known {
 			since = s.now
 		}
 		idle[d.Engine] = since
 		longest = max(longest, s.now-since)
 	}
-	r.idle = idle
+	r.idleSince = idle
 	if longest <= idleBeforeOwnShare {
 		return nil
 	}
-	rested := func(e deal.Engine) bool {
+	idleLong := func(e deal.Engine) bool {
 		since, known := idle[e.Name]
 		return known && s.now-since > idleBeforeOwnShare
 	}
-	pieces := s.pieces
+	items := s.items
 	if longest <= idleBeforeAnyItem {
-		pieces = r.ownItems(s)
+		items = r.ownItems(s)
 	}
-	return r.newClaims(s, deal.Assign(pieces, s.only(rested), 0, s.allowed))
+	return r.newClaims(s, deal.Assign(items, s.enginesWhere(idleLong), 0, s.allowed))
 }
 
 // newClaims turns a deal into newClaims, one for each job and engine, and leaves out what
 // this instance has claimed already.
-func (r *Runner) newClaims(s *survey, deals []deal.Assignment) []jobs.Claim {
+func (r *Runner) newClaims(s *snapshot, deals []deal.Assignment) []jobs.Claim {
 	type target struct {
 		job    ident.Job
 		engine ident.BackendName
 	}
-	at := map[target]int{}
+	indexes := map[target]int{}
 	var claims []jobs.Claim
 	for _, d := range deals {
 		if r.pending[jobs.ItemKey{Job: d.Item.Job, Index: d.Item.Target.Index}] {
 			continue
 		}
 		key := target{job: d.Item.Job, engine: d.Engine}
-		n, ok := at[key]
+		n, ok := indexes[key]
 		if !ok {
 			n = len(claims)
-			at[key] = n
+			indexes[key] = n
 			claims = append(claims, jobs.Claim{Job: d.Item.Job, By: s.actor[d.Engine], Engine: d.Engine, Dealer: r.Self})
 		}
 		claims[n].Targets = append(claims[n].Targets, d.Item.Target)
 		r.Trail.Add(trail.Decision{
 			ID: string(s.item(d.Item).ID), Action: trail.Place, Choice: string(d.Engine),
 			Reason: fmt.Sprintf("job %s, expects %d tokens, %s, load %d, run by %s, ledger %d",
-				d.Item.Job, d.Item.Expect, d.Item.Rank, s.book.Loads[d.Engine].Items, s.actor[d.Engine], s.book.Next),
+				d.Item.Job, d.Item.Expect, d.Item.Rank, s.state.Loads[d.Engine].Items, s.actor[d.Engine], s.state.Next),
 		})
 	}
 	return claims
--- a/croftmoor/batch/harm.go
+++ b/croftmoor/batch/harm.go
@@ -37,21 +37,21 @@
 
 // deferItem gives an item back that is to go to no engine for a while. It is not given
 // up: that would be a result, which its trainer may have only at the end of the job.
-func (r *Runner) deferItem(ctx context.Context, made *progress, left clock.Millis, why string) {
-	c := made.claim
-	r.yieldItem(ctx, made, jobs.Yield{}, why, jobs.Defer{
+func (r *Runner) deferItem(ctx context.Context, prog *progress, left clock.Millis, why string) {
+	c := prog.claim
+	r.yieldItem(ctx, prog, jobs.Yield{}, why, jobs.Defer{
 		Job: c.key.Job, By: r.Self, Index: c.key.Index, Millis: int(min(left, maxDefer)),
 	})
 }
 
 // reportEngineEnd tells the guard what the end of a run says of the item: an engine that failed
 // it lives, one that listens no more has ended under it, unless it was about to leave.
-func (r *Runner) reportEngineEnd(ctx context.Context, item work.Item, made *progress, err error) {
+func (r *Runner) reportEngineEnd(ctx context.Context, item work.Item, prog *progress, err error) {
 	kind := fault.KindOf[EngineKind](err)
 	if kind == Failed || kind == Impossible {
 		r.reportAnswered(item)
 	}
-	engine, listed := r.engineOf(made.claim)
+	engine, listed := r.engineOf(prog.claim)
 	if r.Guard == nil || kind != Broken || ctx.Err() != nil || !listed || engine.State == fleet.Leaving || !r.Engines.Ended(ctx, engine) {
 		return
 	}
--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -32,12 +32,12 @@
 // meter measures the speed of a run.
 type meter struct {
 	clock *clock.Clock
-	// began is when the run was begun.
-	began clock.Millis
+	// startedAt is when the run was begun.
+	startedAt clock.Millis
 
 	events int
-	first  clock.Millis
-	last   clock.Millis
+	firstAt  clock.Millis
+	lastAt   clock.Millis
 	// times are the times of the last events.
 	times [keptTimes]clock.Millis
 	// sharesMachine tells that the engine sharesMachine its machine with others.
@@ -66,9 +66,9 @@
 func (m *meter) recordEvent() {
 	now := m.clock.Mono()
 	if m.events == 0 {
-		m.first = now
+		m.firstAt = now
 	}
-	m.last = now
+	m.lastAt = now
 	m.times[m.events%keptTimes] = now
 	m.events++
 }
@@ -112,36 +112,36 @@
 	if m.events == 0 {
 		return 0
 	}
-	return m.first - m.began
+	return m.firstAt - m.startedAt
 }
 
 // timing returns what the run tells of its engine, as if nothing had run beside.
 // The first event is left out, because it holds the wait for a slot and the
 // reading of the prompt.
 func (m *meter) timing(engine ident.BackendName) jobs.Timing {
-	return jobs.Timing{Engine: engine, Events: max(m.events-1, 0), Millis: int(float64(m.last-m.first) / m.meanSlowdown())}
+	return jobs.Timing{Engine: engine, Events: max(m.events-1, 0), Millis: int(float64(m.lastAt-m.firstAt) / m.meanSlowdown())}
 }
 
 // shouldMove tells whether the rest of a text should be made by another engine that
 // has a free slot.
-func (r *Runner) shouldMove(c claimed, made int, m *meter) bool {
+func (r *Runner) shouldMove(c claimed, events int, m *meter) bool {
 	table := r.Routes()
 	policy, err := place.Policies.New(place.Longest)
 	// While the ledger can't be reached nobody would learn that the item waits.
 	if table == nil || err != nil || !r.Without.Enabled(toggle.Moves) || !r.Ledger.Fresh() {
 		return false
 	}
-	other := 0.0
+	otherPace := 0.0
 	r.Ledger.View(func(b *jobs.State) {
 		m.sampleLoad(otherLoad(b, c.item))
-		other = r.fastestOtherPace(b, c, table.Services[c.accept.Service].Slots)
+		otherPace = r.fastestOtherPace(b, c, table.Services[c.accept.Service].Slots)
 	})
-	if other == 0 {
+	if otherPace == 0 {
 		return false
 	}
-	left := max(int(c.item.Expect)/tokensPerEvent-made, made/overrunDivisor, minEventsLeft)
+	eventsLeft := max(int(c.item.Expect)/tokensPerEvent-events, events/overrunDivisor, minEventsLeft)
 	return policy.ShouldMove(place.MoveCandidate{
-		LastOfStep: true, TokensLeft: ident.Tokens(left), Rate: eventsPerSecond(m.sustainedPace()), OtherRate: eventsPerSecond(other), Moves: c.item.Yields,
+		LastOfStep: true, TokensLeft: ident.Tokens(eventsLeft), Rate: eventsPerSecond(m.sustainedPace()), OtherRate: eventsPerSecond(otherPace), Moves: c.item.Yields,
 	})
 }
 
--- a/croftmoor/batch/move_test.go
+++ b/croftmoor/batch/move_test.go
@@ -12,17 +12,17 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// staleLedger is a ledger that can't be reached.
-type staleLedger struct{ *bookLedger }
+// outdatedLedger is a ledger that can't be reached.
+type outdatedLedger struct{ *stateLedger }
 
-func (staleLedger) Fresh() bool { return false }
+func (outdatedLedger) Fresh() bool { return false }
 
 // An item that is given back while the ledger can't be reached waits there until it
 // can: it had been made up to a few events before its end.
 func TestNoMovesWhileTheLedgerIsAway(t *testing.T) {
-	r := crowd(4, 4, 1)
-	ledger, _ := r.Ledger.(*bookLedger)
-	book := ledger.book
+	r := newTestRunner(4, 4, 1)
+	ledger, _ := r.Ledger.(*stateLedger)
+	book := ledger.state
 	for i := range 4 {
 		engine := ident.BackendName([]string{"engine-0", "engine-1", "engine-2", "engine-3"}[i])
 		book.Paces[engine] = jobs.Pace{MillisPerEvent: 20}
@@ -32,19 +32,19 @@
 	item := job.Items[0]
 	item.Expect = 5000
 	c := claimed{key: jobs.ItemKey{Job: "job-0"}, item: item, accept: job.Accept}
-	m := paced(&meter{}, 9, 100)
+	m := recordEvents(&meter{}, 9, 100)
 	m.clock = r.Clock
 	if !r.shouldMove(c, 9, m) {
 		t.Fatal("the item does not move though another engine is five times as fast")
 	}
-	r.Ledger = staleLedger{ledger}
+	r.Ledger = outdatedLedger{ledger}
 	if r.shouldMove(c, 9, m) {
 		t.Error("the item moves while nobody can learn of it")
 	}
 }
 
-// paced notes events that take so long each.
-func paced(m *meter, events int, each clock.Millis) *meter {
+// recordEvents notes events that take so long each.
+func recordEvents(m *meter, events int, each clock.Millis) *meter {
 	if m.clock == nil {
 		m.clock = clock.NewManual(0)
 	}
@@ -55,7 +55,7 @@
 	return m
 }
 
-func assertLasting(t *testing.T, m *meter, want float64) {
+func assertSustainedPace(t *testing.T, m *meter, want float64) {
 	t.Helper()
 	if got := m.sustainedPace(); got != want {
 		t.Errorf("%.0f ms an event are expected to last, want %.0f", got, want)
@@ -66,25 +66,25 @@
 // place of 36. Texts left it for that, and their prompts were read again elsewhere.
 func TestSlowSpell(t *testing.T) {
 	t.Run("a spell does not count where engines share machines", func(t *testing.T) {
-		assertLasting(t, paced(paced(&meter{sharesMachine: true}, 9, 36), 7, 90), 36)
+		assertSustainedPace(t, recordEvents(recordEvents(&meter{sharesMachine: true}, 9, 36), 7, 90), 36)
 	})
 	t.Run("what lasts does", func(t *testing.T) {
-		assertLasting(t, paced(paced(&meter{sharesMachine: true}, 9, 36), 16, 90), 90)
+		assertSustainedPace(t, recordEvents(recordEvents(&meter{sharesMachine: true}, 9, 36), 16, 90), 90)
 	})
 	t.Run("nothing is known after one span", func(t *testing.T) {
-		assertLasting(t, paced(&meter{sharesMachine: true}, 9, 90), 0)
+		assertSustainedPace(t, recordEvents(&meter{sharesMachine: true}, 9, 90), 0)
 	})
 	t.Run("elsewhere the last span counts", func(t *testing.T) {
-		assertLasting(t, paced(paced(&meter{}, 9, 36), 8, 90), 90)
+		assertSustainedPace(t, recordEvents(recordEvents(&meter{}, 9, 36), 8, 90), 90)
 	})
 }
 
-// noEngines fails the test when an item is sent to an engine.
-type noEngines struct{ t *testing.T }
+// unusedEngines fails the test when an item is sent to an engine.
+type unusedEngines struct{ t *testing.T }
 
-func (noEngines) Ended(context.Context, fleet.Member) bool { return false }
+func (unusedEngines) Ended(context.Context, fleet.Member) bool { return false }
 
-func (n noEngines) Run(_ context.Context, engine fleet.Member, _ work.Item, _ int) (Events, error) {
+func (n unusedEngines) Run(_ context.Context, engine fleet.Member, _ work.Item, _ int) (Events, error) {
 	n.t.Errorf("sent to %s", engine.Name)
 	return nil, fault.New("noEngines", NotRun, "")
 }
@@ -92,15 +92,15 @@
 // A claim may be read long after it was written, by an instance that was frozen:
 // its engine may be leaving by then, and must not get new work.
 func TestNoRunAtAnEngineThatLeaves(t *testing.T) {
-	r := crowd(4, 4, 1)
-	r.Engines = noEngines{t}
+	r := newTestRunner(4, 4, 1)
+	r.Engines = unusedEngines{t}
 	list := r.Fleet.View().Backends["models"]
 	for i := range list {
 		list[i].State = fleet.Leaving
 	}
 	r.Fleet.Set(list)
-	ledger, _ := r.Ledger.(*bookLedger)
-	job := ledger.book.Jobs["job-0"]
+	ledger, _ := r.Ledger.(*stateLedger)
+	job := ledger.state.Jobs["job-0"]
 	c := claimed{key: jobs.ItemKey{Job: "job-0"}, item: job.Items[0], accept: job.Accept}
 	err := r.generate(t.Context(), work.Item{}, &progress{runner: r, claim: c}, &meter{clock: r.Clock})
 	if kind := fault.KindOf[EngineKind](err); kind != NotRun {
--- a/croftmoor/batch/patient_test.go
+++ b/croftmoor/batch/patient_test.go
@@ -15,23 +15,23 @@
 		name   string
 		expect ident.Tokens
 		age    clock.Millis
-		change func(*survey, *jobs.Job)
+		change func(*snapshot, *jobs.Job)
 		want   bool
 	}{
 		{"a short item of a job that has just come", 1300, 0, nil, true},
 		{"a short item of a job that is nearly due", 1300, 4 * clock.Second, nil, false},
 		{"an item that may take until the job is due", 7000, 0, nil, false},
-		{"a job without a time to be done by", 1300, 0, func(s *survey, _ *jobs.Job) { s.due["j"] = 0 }, false},
-		{"a job of unknown age", 1300, 0, func(_ *survey, j *jobs.Job) { j.FromBacklog = true }, false},
+		{"a job without a time to be done by", 1300, 0, func(s *snapshot, _ *jobs.Job) { s.deadlines["j"] = 0 }, false},
+		{"a job of unknown age", 1300, 0, func(_ *snapshot, j *jobs.Job) { j.FromBacklog = true }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &survey{now: 100 * clock.Second, due: map[ident.Job]clock.Millis{"j": due}, median: 38}
+			s := &snapshot{now: 100 * clock.Second, deadlines: map[ident.Job]clock.Millis{"j": due}, medianPace: 38}
 			job := &jobs.Job{Accept: jobs.Accept{Job: "j"}, SeenAt: s.now - c.age}
 			if c.change != nil {
 				c.change(s, job)
 			}
 			item := &jobs.Item{ItemSpec: jobs.ItemSpec{Expect: c.expect}}
-			if got := s.patient(job, item); got != c.want {
+			if got := s.deferrable(job, item); got != c.want {
 				t.Errorf("patient: %v, want %v", got, c.want)
 			}
 		})
@@ -41,7 +41,7 @@
 // What an engine's speed is learnt from must not depend on what ran beside.
 func TestSpeedIsOfAnEmptyEngine(t *testing.T) {
 	beside := jobs.Load{Items: 10, Expect: 20000}
-	m := &meter{events: 101, first: 1000, last: 1000 + clock.Millis(3600*deal.Slowdown(beside))}
+	m := &meter{events: 101, firstAt: 1000, lastAt: 1000 + clock.Millis(3600*deal.Slowdown(beside))}
 	m.sampleLoad(beside)
 	if got := m.timing("e"); got.Events != 100 || got.Millis < 3598 || got.Millis > 3601 {
 		t.Errorf("speed %+v, want 100 events in 3,600 ms", got)
--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -39,41 +39,41 @@
 
 // perform runs a claimed item to its result, or gives it back.
 func (r *Runner) perform(ctx context.Context, c claimed, own *run) {
-	made := &progress{runner: r, claim: c}
-	item, err := r.load(ctx, made)
+	prog := &progress{runner: r, claim: c}
+	item, err := r.load(ctx, prog)
 	if err != nil {
-		r.yieldItem(ctx, made, jobs.Yield{}, "kept data: "+err.Error())
+		r.yieldItem(ctx, prog, jobs.Yield{}, "kept data: "+err.Error())
 		return
 	}
 	if left, why := r.held(item); left > 0 {
-		r.deferItem(ctx, made, left, why)
+		r.deferItem(ctx, prog, left, why)
 		return
 	}
-	meter := &meter{clock: r.Clock, began: r.Clock.Mono()}
+	meter := &meter{clock: r.Clock, startedAt: r.Clock.Mono()}
 	r.Ledger.View(func(b *jobs.State) { meter.sampleLoad(otherLoad(b, c.item)) })
-	if !made.whole {
-		if err := r.generate(ctx, item, made, meter); err != nil {
-			r.reportEngineEnd(ctx, item, made, err)
-			r.handleFailure(ctx, made, meter, err)
+	if !prog.complete {
+		if err := r.generate(ctx, item, prog, meter); err != nil {
+			r.reportEngineEnd(ctx, item, prog, err)
+			r.handleFailure(ctx, prog, meter, err)
 			return
 		}
-		made.whole = true
+		prog.complete = true
 		r.reportAnswered(item)
 	}
-	own.made.Store(true)
-	r.complete(ctx, item, made, meter)
+	own.generated.Store(true)
+	r.complete(ctx, item, prog, meter)
 }
 
 // load reads the item and takes over what was kept of its text.
-func (r *Runner) load(ctx context.Context, made *progress) (work.Item, error) {
-	c := made.claim
+func (r *Runner) load(ctx context.Context, prog *progress) (work.Item, error) {
+	c := prog.claim
 	data, err := r.readBody(ctx, &c.item)
 	if err != nil {
 		return work.Item{}, err
 	}
 	if partial := c.item.Partial; partial.Fits(c.accept.MinVersion, c.accept.SingleVersion) {
-		made.kept = partial
-		made.events, made.versions, made.whole = partial.Events, slices.Clone(partial.Versions), partial.Complete
+		prog.saved = partial
+		prog.events, prog.versions, prog.complete = partial.Events, slices.Clone(partial.Versions), partial.Complete
 	}
 	item, err := work.Decode(data)
 	item.Organisation, item.Priority = c.accept.Organisation, r.priority(c.accept)
@@ -91,16 +91,16 @@
 }
 
 // generate has an engine make the rest of the text.
-func (r *Runner) generate(ctx context.Context, item work.Item, made *progress, meter *meter) error {
-	engine, ok := r.engineOf(made.claim)
+func (r *Runner) generate(ctx context.Context, item work.Item, prog *progress, meter *meter) error {
+	engine, ok := r.engineOf(prog.claim)
 	if !ok || engine.State == fleet.Leaving || r.Fleet.MarkedLeaving(engine.Name) {
 		return fault.New("batch.generate", NotRun, "the engine has left, or is leaving")
 	}
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := r.Clock.AfterFunc(r.silenceTimeout(made.claim, engine), func() { cancel(context.DeadlineExceeded) })
+	silence := r.Clock.AfterFunc(r.silenceTimeout(prog.claim, engine), func() { cancel(context.DeadlineExceeded) })
 	defer silence.Stop()
-	events, err := r.Engines.Run(runCtx, engine, item, made.events)
+	events, err := r.Engines.Run(runCtx, engine, item, prog.events)
 	if err != nil {
 		return silentError(runCtx, err)
 	}
@@ -114,14 +114,14 @@
 		if !more {
 			return nil
 		}
-		if err := checkEvent(made, event); err != nil {
+		if err := checkEvent(prog, event); err != nil {
 			return err
 		}
-		made.add(event)
+		prog.add(event)
 		meter.recordEvent()
 		silence.Reset(eventGapTimeout.Duration())
-		made.keepSome(ctx)
-		if meter.comparisonDue() && r.shouldMove(made.claim, made.events, meter) {
+		prog.saveIfDue(ctx)
+		if meter.comparisonDue() && r.shouldMove(prog.claim, prog.events, meter) {
 			return fault.New("batch.generate", Slow, fmt.Sprintf("%.0f ms an event", meter.pace()))
 		}
 	}
@@ -150,15 +150,15 @@
 }
 
 // checkEvent tells whether an event may follow what has been made.
-func checkEvent(made *progress, event Event) error {
-	accept := made.claim.accept
-	if event.Index != made.events+1 {
-		return fault.New("batch.generate", Broken, fmt.Sprintf("event %d after %d", event.Index, made.events))
+func checkEvent(prog *progress, event Event) error {
+	accept := prog.claim.accept
+	if event.Index != prog.events+1 {
+		return fault.New("batch.generate", Broken, fmt.Sprintf("event %d after %d", event.Index, prog.events))
 	}
 	if event.Version < accept.MinVersion {
 		return fault.New("batch.generate", NotRun, fmt.Sprintf("the engine has version %d, the job takes %d", event.Version, accept.MinVersion))
 	}
-	if accept.SingleVersion && made.events > 0 && !slices.Contains(made.versions, event.Version) {
+	if accept.SingleVersion && prog.events > 0 && !slices.Contains(prog.versions, event.Version) {
 		return fault.New("batch.generate", Broken, "a second version in a text that takes one")
 	}
 	return nil
@@ -175,37 +175,37 @@
 
 // handleFailure ends a run that did not come to the end of its text: it is given up if
 // that is for good, else given back, and the others are told of the engine.
-func (r *Runner) handleFailure(ctx context.Context, made *progress, meter *meter, err error) {
-	c := made.claim
+func (r *Runner) handleFailure(ctx context.Context, prog *progress, meter *meter, err error) {
+	c := prog.claim
 	kind := fault.KindOf[EngineKind](err)
 	reason := string(kind) + ": " + err.Error()
 	yield := jobs.Yield{Failed: kind == Failed, Timing: meter.timing(c.item.Engine)}
 	if ctx.Err() != nil {
-		r.yieldItem(ctx, made, yield, "stopped")
+		r.yieldItem(ctx, prog, yield, "stopped")
 		return
 	}
 	attempts := 1
 	if route, ok := r.Routes().FindExact(c.accept.Host, c.accept.Prefix); ok {
 		attempts = max(route.MaxAttempts, 1)
 	}
-	pause := 0
+	avoid := 0
 	switch {
 	case kind == Impossible, kind == Failed && len(c.item.FailedOn)+1 >= attempts:
 		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedOn)+1, attempts, reason))
 		return
 	case kind == Busy:
-		pause = avoidBusyMillis
+		avoid = avoidBusyMillis
 	case kind != Failed && kind != Slow:
-		pause = avoidBrokenMillis
+		avoid = avoidBrokenMillis
 	}
-	if pause > 0 {
+	if avoid > 0 {
 		// The engine is told of together with the item: an append and its way back more
 		// would keep the item from its next engine for some 50 ms, and for 2 s while the
 		// log is away.
-		r.yieldItem(ctx, made, yield, reason, jobs.Avoid{By: r.Self, Engine: c.item.Engine, Millis: pause})
+		r.yieldItem(ctx, prog, yield, reason, jobs.Avoid{By: r.Self, Engine: c.item.Engine, Millis: avoid})
 		return
 	}
-	r.yieldItem(ctx, made, yield, reason)
+	r.yieldItem(ctx, prog, yield, reason)
 }
 
 // appendAndAwait appends records and waits until they have been read back, so that this
@@ -229,50 +229,50 @@
 
 // yieldItem yields an item, keeping what was made of it; before it come the given
 // records.
-func (r *Runner) yieldItem(ctx context.Context, made *progress, yield jobs.Yield, reason string, before ...jobs.Record) {
-	c := made.claim
-	r.logDecision(c, trail.Cancel, string(c.item.Engine), fmt.Sprintf("%s; %d events made", reason, made.events))
-	keepCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTimeout.Duration())
+func (r *Runner) yieldItem(ctx context.Context, prog *progress, yield jobs.Yield, reason string, before ...jobs.Record) {
+	c := prog.claim
+	r.logDecision(c, trail.Cancel, string(c.item.Engine), fmt.Sprintf("%s; %d events made", reason, prog.events))
+	saveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTimeout.Duration())
 	defer cancel()
-	kept, err := made.keepAll(keepCtx)
+	saved, err := prog.saveAll(saveCtx)
 	if err != nil {
 		r.logDecision(c, trail.Hold, "progress not kept", err.Error())
 	}
-	yield.Job, yield.By, yield.Index, yield.Partial = c.key.Job, r.Self, c.key.Index, kept
+	yield.Job, yield.By, yield.Index, yield.Partial = c.key.Job, r.Self, c.key.Index, saved
 	r.appendAndAwait(ctx, c, append(before, yield)...)
 }
 
 // complete scores a whole text, keeps it, and lists the result. It goes on when
 // the claim is replaced meanwhile: the first result counts.
-func (r *Runner) complete(ctx context.Context, item work.Item, made *progress, meter *meter) {
-	c := made.claim
+func (r *Runner) complete(ctx context.Context, item work.Item, prog *progress, meter *meter) {
+	c := prog.claim
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout.Duration())
 	defer cancel()
-	var kept jobs.Partial
+	var saved jobs.Partial
 	var score string
-	var keepErr, scoreErr error
+	var saveErr, scoreErr error
 	began := r.Clock.Mono()
-	var both conc.WaitGroup
-	both.Go(func() { kept, keepErr = made.keepAll(ctx) })
-	both.Go(func() { score, scoreErr = r.score(ctx, c, item) })
-	both.Wait()
+	var tasks conc.WaitGroup
+	tasks.Go(func() { saved, saveErr = prog.saveAll(ctx) })
+	tasks.Go(func() { score, scoreErr = r.score(ctx, c, item) })
+	tasks.Wait()
 	if fault.KindOf[RewardKind](scoreErr) == RewardFailed {
 		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, scoreErr.Error())
 		return
 	}
 	if fault.KindOf[RewardKind](scoreErr) == RewardHeld {
-		r.deferItem(ctx, made, maxDefer, scoreErr.Error())
+		r.deferItem(ctx, prog, maxDefer, scoreErr.Error())
 		return
 	}
-	if keepErr != nil || scoreErr != nil {
-		r.yieldItem(ctx, made, jobs.Yield{}, fmt.Sprintf("text kept: %v, scored: %v", keepErr, scoreErr))
+	if saveErr != nil || scoreErr != nil {
+		r.yieldItem(ctx, prog, jobs.Yield{}, fmt.Sprintf("text kept: %v, scored: %v", saveErr, scoreErr))
 		return
 	}
-	speed := meter.timing(c.item.Engine)
+	timing := meter.timing(c.item.Engine)
 	r.finish(ctx, c, jobs.Finish{
-		Outcome: jobs.Completed, Versions: made.versions, Score: score, Texts: kept.Texts, Events: made.events, Timing: speed,
+		Outcome: jobs.Completed, Versions: prog.versions, Score: score, Texts: saved.Texts, Events: prog.events, Timing: timing,
 	}, fmt.Sprintf("%d events in %d ms, %d in all, the first after %d ms, kept and scored in %d ms",
-		speed.Events, meter.last-meter.first, made.events, meter.timeToFirstEvent(), r.Clock.Mono()-began))
+		timing.Events, meter.lastAt-meter.firstAt, prog.events, meter.timeToFirstEvent(), r.Clock.Mono()-began))
 }
 
 // score asks for the reward until it comes, fails for good, is no longer wanted,
--- a/croftmoor/batch/race_test.go
+++ b/croftmoor/batch/race_test.go
@@ -10,18 +10,18 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// readGap is the time between two looks of an instance at the ledger.
-const readGap = 20 * clock.Millis(1)
+// roundPeriod is the time between two looks of an instance at the ledger.
+const roundPeriod = 20 * clock.Millis(1)
 
-// scene is instances that read one ledger, each as far as it has come. Their time
+// simulation is instances that read one ledger, each as far as it has come. Their time
 // moves by readGap a round, whatever the machine that runs the test does.
-type scene struct {
+type simulation struct {
 	t       *testing.T
 	clock   *clock.Clock
 	random  *rand.Rand
 	log     []jobs.Record
 	runners []*Runner
-	books   []*jobs.State
+	states   []*jobs.State
 	read    []int
 	// silent are instances that neither read nor write any more.
 	silent map[int]bool
@@ -30,18 +30,18 @@
 	engine map[jobs.ItemKey]ident.BackendName
 }
 
-func newScene(t *testing.T, instances, engines int) *scene {
-	s := &scene{
+func newSimulation(t *testing.T, instances, engines int) *simulation {
+	s := &simulation{
 		t: t, random: rand.New(rand.NewPCG(1, uint64(instances))), silent: map[int]bool{},
 		claims: map[jobs.ItemKey]int{}, engine: map[jobs.ItemKey]ident.BackendName{}, clock: clock.NewManual(clock.Minute),
 	}
 	for n := range instances {
-		r := crowd(instances, engines, 0)
+		r := newTestRunner(instances, engines, 0)
 		r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 		r.Clock = s.clock
 		r.Ledger.View(func(b *jobs.State) {
 			b.UpToDate = true
-			s.books = append(s.books, b)
+			s.states = append(s.states, b)
 		})
 		s.runners = append(s.runners, r)
 		s.read = append(s.read, 0)
@@ -49,33 +49,33 @@
 	return s
 }
 
-// write appends records to the ledger.
-func (s *scene) write(records ...jobs.Record) {
+// appendRecords appends records to the ledger.
+func (s *simulation) appendRecords(records ...jobs.Record) {
 	s.log = append(s.log, records...)
 }
 
 // catchUp has an instance read so many records.
-func (s *scene) catchUp(n, most int) {
-	for ; s.read[n] < len(s.log) && most > 0; most-- {
-		s.books[n].Apply(ident.Offset(10_000+s.read[n]), s.log[s.read[n]], s.runners[n].Clock.Mono())
+func (s *simulation) catchUp(n, limit int) {
+	for ; s.read[n] < len(s.log) && limit > 0; limit-- {
+		s.states[n].Apply(ident.Offset(10_000+s.read[n]), s.log[s.read[n]], s.runners[n].Clock.Mono())
 		s.read[n]++
 	}
 }
 
 // planAll has all instances read the ledger to its end and plan, and drops the plans:
 // they know from then on who deals.
-func (s *scene) planAll() {
+func (s *simulation) planAll() {
 	for n, r := range s.runners {
 		s.catchUp(n, len(s.log))
 		r.planClaims()
 	}
 }
 
-// act has an instance claim what it should, unless it waits for its last claims.
-func (s *scene) act(n int) {
+// claimNext has an instance claim what it should, unless it waits for its last claims.
+func (s *simulation) claimNext(n int) {
 	r := s.runners[n]
 	for key := range r.pending {
-		if item := &s.books[n].Jobs[key.Job].Items[key.Index]; item.Claim != 0 || item.Done {
+		if item := &s.states[n].Jobs[key.Job].Items[key.Index]; item.Claim != 0 || item.Done {
 			delete(r.pending, key)
 		}
 	}
@@ -86,36 +86,36 @@
 			s.claims[key]++
 			s.engine[key] = c.Engine
 		}
-		s.write(c)
+		s.appendRecords(c)
 	}
 }
 
-// play lets instances read and act in random order, each some records behind.
-func (s *scene) play(rounds int) {
+// runRounds lets instances read and act in random order, each some records behind.
+func (s *simulation) runRounds(rounds int) {
 	for range rounds {
-		s.clock.Advance(readGap)
+		s.clock.Advance(roundPeriod)
 		for _, n := range s.random.Perm(len(s.runners)) {
 			if !s.silent[n] && s.random.IntN(3) > 0 {
 				s.catchUp(n, 1+s.random.IntN(200))
-				s.act(n)
+				s.claimNext(n)
 			}
 		}
 	}
 }
 
-func (s *scene) accept(id ident.Job, items int) {
+func (s *simulation) accept(id ident.Job, items int) {
 	a := jobs.Accept{Job: id, Host: "h", Prefix: "/p/", Service: "models", Model: "m"}
 	for i := range items {
 		a.Items = append(a.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("%s-%d", id, i)), Group: ident.Group(fmt.Sprintf("g-%d", i/8)), Expect: ident.Tokens(50 + i)})
 	}
-	s.write(a)
+	s.appendRecords(a)
 }
 
-// finish lists a share of what is claimed, as engines would, and tells how many
+// finishSome lists a share of what is claimed, as engines would, and tells how many
 // items are left.
-func (s *scene) finish() int {
+func (s *simulation) finishSome() int {
 	left := 0
-	book := s.books[0]
+	book := s.states[0]
 	for _, id := range book.JobOrder {
 		job := book.Jobs[id]
 		for i := range job.Items {
@@ -123,7 +123,7 @@
 			switch {
 			case item.Done:
 			case item.Claim != 0 && s.random.IntN(2) == 0:
-				s.write(jobs.Finish{Job: id, By: item.Owner, Index: i, Outcome: jobs.Completed})
+				s.appendRecords(jobs.Finish{Job: id, By: item.Owner, Index: i, Outcome: jobs.Completed})
 				left++
 			default:
 				left++
@@ -133,8 +133,8 @@
 	return left
 }
 
-// wantClaims checks how many claims were written for each item.
-func (s *scene) wantClaims(items int, most float64) {
+// assertClaims checks how many claims were written for each item.
+func (s *simulation) assertClaims(items int, maxMean float64) {
 	s.t.Helper()
 	total := 0
 	for _, n := range s.claims {
@@ -143,18 +143,18 @@
 	if len(s.claims) != items {
 		s.t.Errorf("%d of %d items were claimed", len(s.claims), items)
 	}
-	if each := float64(total) / float64(max(len(s.claims), 1)); each > most {
-		s.t.Errorf("%.2f claims for an item, want %.2f at most", each, most)
+	if each := float64(total) / float64(max(len(s.claims), 1)); each > maxMean {
+		s.t.Errorf("%.2f claims for an item, want %.2f at most", each, maxMean)
 	}
 }
 
-// run plays until nothing is left.
-func (s *scene) run() {
+// runToEnd plays until nothing is left.
+func (s *simulation) runToEnd() {
 	s.t.Helper()
 	for range 300 {
-		s.play(1)
+		s.runRounds(1)
 		s.catchUp(0, len(s.log))
-		if s.finish() == 0 {
+		if s.finishSome() == 0 {
 			return
 		}
 	}
@@ -167,18 +167,18 @@
 func TestItemsAreClaimedOnce(t *testing.T) {
 	for _, size := range []struct{ instances, engines, jobs, items int }{{13, 11, 2, 224}, {48, 102, 6, 190}, {84, 44, 6, 128}} {
 		t.Run(fmt.Sprintf("%d instances %d engines", size.instances, size.engines), func(t *testing.T) {
-			s := newScene(t, size.instances, size.engines)
+			s := newSimulation(t, size.instances, size.engines)
 			for j := range size.jobs {
 				s.accept(ident.Job(fmt.Sprintf("j-%d", j)), size.items)
 			}
-			s.run()
-			s.wantClaims(size.jobs*size.items, 1.05)
+			s.runToEnd()
+			s.assertClaims(size.jobs*size.items, 1.05)
 		})
 	}
 }
 
 func TestSilentDealer(t *testing.T) {
-	dealer := func(s *scene) int {
+	dealer := func(s *simulation) int {
 		for n, r := range s.runners {
 			if r.dealer("models") == r.Self {
 				return n
@@ -189,38 +189,38 @@
 	}
 	t.Run("instances place items at their own engines meanwhile", func(t *testing.T) {
 		const items = 200
-		s := newScene(t, 30, 60)
+		s := newSimulation(t, 30, 60)
 		s.accept("j", items)
 		s.planAll()
 		gone := dealer(s)
 		s.silent[gone] = true
 		clear(s.claims)
-		s.play(3)
+		s.runRounds(3)
 		if len(s.claims) > 0 {
 			t.Errorf("%d items claimed before the dealer had its time", len(s.claims))
 		}
 		s.clock.Advance(idleBeforeOwnShare)
-		s.play(6)
+		s.runRounds(6)
 		if shared := len(s.claims); shared < items*4/5 {
 			t.Errorf("%d of %d items were claimed without the dealer", shared, items)
 		}
-		s.wantClaims(len(s.claims), 1.05)
+		s.assertClaims(len(s.claims), 1.05)
 		s.clock.Advance(idleBeforeAnyItem)
-		s.play(6)
-		s.wantClaims(items, 1.5)
+		s.runRounds(6)
+		s.assertClaims(items, 1.5)
 	})
 	t.Run("another deals once it is known to be gone", func(t *testing.T) {
 		const items = 20
-		s := newScene(t, 6, 6)
+		s := newSimulation(t, 6, 6)
 		s.accept("j", items)
 		s.planAll()
 		clear(s.claims)
 		gone := dealer(s)
 		s.silent[gone] = true
-		for _, b := range s.books {
+		for _, b := range s.states {
 			b.Members[s.runners[gone].Self].Superseded = true
 		}
-		s.play(8)
-		s.wantClaims(items, 1.05)
+		s.runRounds(8)
+		s.assertClaims(items, 1.05)
 	})
 }
--- a/croftmoor/batch/runner.go
+++ b/croftmoor/batch/runner.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// tick bounds how long a change that no record tells of goes unnoticed.
-	tick = 100 * clock.Millis(1)
+	// pollPeriod bounds how long a change that no record tells of goes unnoticed.
+	pollPeriod = 100 * clock.Millis(1)
 	// overbook is how many items an engine may hold beyond its slots, so that a
 	// slot that gets free has its next item at once.
 	overbook = 1
-	// claimTerm bounds the wait for a claim's word from the log.
-	claimTerm = 3 * clock.Second
-	// loadTerm is how long an ordered load of weights keeps items away if no
+	// claimTimeout bounds the wait for a claim's word from the log.
+	claimTimeout = 3 * clock.Second
+	// loadTimeout is how long an ordered load of weights keeps items away if no
 	// word of its end comes.
-	loadTerm = 2500 * clock.Millis(1)
+	loadTimeout = 2500 * clock.Millis(1)
 )
 
 // run is an item that this instance runs. Claim is 0 while it does so without
@@ -35,8 +35,8 @@
 	claim  ident.Offset
 	engine ident.BackendName
 	cancel context.CancelFunc
-	// made tells that the engine has done its part.
-	made atomic.Bool
+	// generated tells that the engine has done its part.
+	generated atomic.Bool
 }
 
 // Runner claims items for the engines that this instance acts for, and runs
@@ -60,31 +60,31 @@
 	mu      sync.Mutex
 	runs    map[jobs.ItemKey]*run
 	pending map[jobs.ItemKey]bool
-	// idle is since when engines that this instance acts for have had room for an
+	// idleSince is since when engines that this instance acts for have had room for an
 	// item that waits, without getting one.
-	idle map[ident.BackendName]clock.Millis
-	// looked is when these were last looked for.
-	looked clock.Millis
-	// fetched are the open jobs whose bodies have been asked for.
-	fetched map[ident.Job]bool
+	idleSince map[ident.BackendName]clock.Millis
+	// lastIdleCheck is when these were last lastIdleCheck for.
+	lastIdleCheck clock.Millis
+	// prefetched are the open jobs whose bodies have been asked for.
+	prefetched map[ident.Job]bool
 	actors  actors
-	starts  starts
+	starts  engineStarts
 	// leaving tells that nothing more is claimed, given that what is claimed is
 	// given back.
 	leaving bool
-	given   bool
+	givenBack   bool
 	group   conc.WaitGroup
-	kick    chan struct{}
+	wakeups    chan struct{}
 }
 
 // Setup makes the runner usable; it is called before Run.
 func (r *Runner) Setup() {
 	r.runs = map[jobs.ItemKey]*run{}
 	r.pending = map[jobs.ItemKey]bool{}
-	r.idle = map[ident.BackendName]clock.Millis{}
-	r.looked = -idleCheckPeriod
-	r.fetched = map[ident.Job]bool{}
-	r.kick = make(chan struct{}, 1)
+	r.idleSince = map[ident.BackendName]clock.Millis{}
+	r.lastIdleCheck = -idleCheckPeriod
+	r.prefetched = map[ident.Job]bool{}
+	r.wakeups = make(chan struct{}, 1)
 }
 
 // Run claims and runs items until ctx ends; it returns when all runs have
@@ -93,13 +93,13 @@
 	defer r.group.Wait()
 	for ctx.Err() == nil {
 		changed := r.Ledger.Changed()
-		r.follow(ctx)
-		r.claim(ctx)
+		r.syncRuns(ctx)
+		r.claimItems(ctx)
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-r.kick:
-		case <-r.Clock.After(tick):
+		case <-r.wakeups:
+		case <-r.Clock.After(pollPeriod):
 		}
 	}
 }
@@ -115,7 +115,7 @@
 func (r *Runner) GiveBack() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaving, r.given = true, true
+	r.leaving, r.givenBack = true, true
 	for _, run := range r.runs {
 		run.cancel()
 	}
@@ -135,9 +135,9 @@
 	accept jobs.Accept
 }
 
-// follow starts the items that the ledger gives to this instance, and stops
+// syncRuns starts the items that the ledger gives to this instance, and stops
 // those that it no longer does.
-func (r *Runner) follow(ctx context.Context) {
+func (r *Runner) syncRuns(ctx context.Context) {
 	mine := map[jobs.ItemKey]claimed{}
 	open := map[ident.Job]bool{}
 	r.mu.Lock()
@@ -151,38 +151,38 @@
 		r.collect(b, mine)
 	})
 	r.schedulePrefetch(ctx, open)
-	starts := r.startsListed()
+	starts := r.listedStarts()
 	for key, run := range r.runs {
 		c, ok := mine[key]
 		if ok && run.claim == 0 {
 			run.claim = c.item.Claim
 		}
-		if !ok || c.item.Claim != run.claim || (starts.after(run.engine) && !run.made.Load()) {
+		if !ok || c.item.Claim != run.claim || (starts.restarted(run.engine) && !run.generated.Load()) {
 			run.cancel()
 		}
 	}
 	for key, c := range mine {
-		if r.runs[key] == nil && !r.given {
+		if r.runs[key] == nil && !r.givenBack {
 			r.begin(ctx, c)
 		}
 	}
 }
 
-// starts are the starts of engines that a view of the fleet lists, by the names that
+// engineStarts are the engineStarts of engines that a view of the fleet lists, by the names that
 // engines keep. It is worked out once a view and not each time that the ledger is
 // read, since a list may have thousands of engines; what that saves was not measured.
-type starts struct {
+type engineStarts struct {
 	view   *fleet.View
 	listed map[string]ident.BackendName
 }
 
-// startsListed returns the starts that are listed now; mu is held.
-func (r *Runner) startsListed() starts {
+// listedStarts returns the starts that are listed now; mu is held.
+func (r *Runner) listedStarts() engineStarts {
 	view := r.Fleet.View()
 	if r.starts.view == view {
 		return r.starts
 	}
-	r.starts = starts{view: view, listed: map[string]ident.BackendName{}}
+	r.starts = engineStarts{view: view, listed: map[string]ident.BackendName{}}
 	for _, members := range view.Backends {
 		for _, m := range members {
 			name := ident.BackendName(m.Name)
@@ -192,9 +192,9 @@
 	return r.starts
 }
 
-// after tells whether another start of an engine is listed: what ran at this one is lost,
+// restarted tells whether another start of an engine is listed: what ran at this one is lost,
 // and its silence is not waited for.
-func (s starts) after(engine ident.BackendName) bool {
+func (s engineStarts) restarted(engine ident.BackendName) bool {
 	name, listed := s.listed[engine.ListName()]
 	return listed && name != engine
 }
@@ -238,13 +238,13 @@
 
 func (r *Runner) wake() {
 	select {
-	case r.kick <- struct{}{}:
+	case r.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// claim makes the deal and claims this instance's part of it.
-func (r *Runner) claim(ctx context.Context) {
+// claimItems makes the deal and claims this instance's part of it.
+func (r *Runner) claimItems(ctx context.Context) {
 	r.mu.Lock()
 	leaving := r.leaving
 	r.mu.Unlock()
@@ -265,14 +265,14 @@
 			keys = append(keys, jobs.ItemKey{Job: c.Job, Index: t.Index})
 		}
 	}
-	r.mark(keys, true)
+	r.setPending(keys, true)
 	if r.Counts != nil {
 		r.Counts.Claimed(len(keys))
 	}
-	r.group.Go(func() { r.append(ctx, claims, keys) })
+	r.group.Go(func() { r.appendClaims(ctx, claims, keys) })
 }
 
-func (r *Runner) mark(keys []jobs.ItemKey, pending bool) {
+func (r *Runner) setPending(keys []jobs.ItemKey, pending bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, key := range keys {
@@ -284,12 +284,12 @@
 	}
 }
 
-// append writes claims and waits until they have been read back, so that the
+// appendClaims writes claims and waits until they have been read back, so that the
 // items are not claimed once more meanwhile.
-func (r *Runner) append(ctx context.Context, claims []jobs.Claim, keys []jobs.ItemKey) {
+func (r *Runner) appendClaims(ctx context.Context, claims []jobs.Claim, keys []jobs.ItemKey) {
 	defer r.wake()
-	defer r.mark(keys, false)
-	callCtx, cancel := context.WithTimeout(ctx, claimTerm.Duration())
+	defer r.setPending(keys, false)
+	callCtx, cancel := context.WithTimeout(ctx, claimTimeout.Duration())
 	defer cancel()
 	records := make([]jobs.Record, 0, len(claims))
 	for _, c := range claims {
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -13,15 +13,15 @@
 	"croftmoor.dev/kernel/toggle"
 )
 
-// survey is what a deal is made from, taken from one state of the ledger. It is
+// snapshot is what a deal is made from, taken from one state of the ledger. It is
 // valid only while that state is viewed.
-type survey struct {
-	book    *jobs.State
-	pieces  []deal.RankedItem
-	added   bool
+type snapshot struct {
+	state    *jobs.State
+	items  []deal.RankedItem
+	itemsAdded   bool
 	engines []deal.Engine
-	// median is the usual time of an event at these engines.
-	median float64
+	// medianPace is the usual time of an event at these engines.
+	medianPace float64
 	// actor is the instance that acts for a server, of any service.
 	actor map[ident.BackendName]ident.InstanceName
 	// versions are the weights that an engine can be relied on to have; a model
@@ -29,22 +29,22 @@
 	versions map[jobs.EngineModel]ident.Version
 	services map[ident.BackendName]ident.Service
 	accepts  map[ident.Job]jobs.Accept
-	// due is the time after its acceptance by which a job should be done; 0 is none.
-	due map[ident.Job]clock.Millis
+	// deadlines is the time after its acceptance by which a job should be done; 0 is none.
+	deadlines map[ident.Job]clock.Millis
 	now clock.Millis
-	// without are the mechanisms that are switched off.
-	without toggle.Set
+	// toggles are the mechanisms that are switched off.
+	toggles toggle.Set
 	// silent are the owners of claims that count as gone.
 	silent map[ident.InstanceName]bool
 }
 
 // item returns the item of a piece.
-func (s *survey) item(p deal.RankedItem) *jobs.Item {
-	return &s.book.Jobs[p.Job].Items[p.Target.Index]
+func (s *snapshot) item(p deal.RankedItem) *jobs.Item {
+	return &s.state.Jobs[p.Job].Items[p.Target.Index]
 }
 
 // allowed tells whether an engine can run a job's items now.
-func (s *survey) allowed(engine ident.BackendName, job ident.Job) bool {
+func (s *snapshot) allowed(engine ident.BackendName, job ident.Job) bool {
 	accept := s.accepts[job]
 	if s.services[engine] != accept.Service {
 		return false
@@ -56,16 +56,16 @@
 	return ready && version >= accept.MinVersion
 }
 
-// survey looks at the jobs that have items to share out and the engines that may
+// snapshot looks at the jobs that have items to share out and the engines that may
 // get them; instances that were not heard since the given time count as gone. It
 // returns nil if nothing waits; mu is held.
-func (r *Runner) survey(b *jobs.State, table *paths.Table, since clock.Millis) *survey {
-	s := &survey{
-		book: b, versions: map[jobs.EngineModel]ident.Version{}, services: map[ident.BackendName]ident.Service{},
-		accepts: map[ident.Job]jobs.Accept{}, silent: silentOwners(b, since), due: map[ident.Job]clock.Millis{}, now: r.Clock.Mono(),
-		without: r.Without,
+func (r *Runner) snapshot(b *jobs.State, table *paths.Table, since clock.Millis) *snapshot {
+	s := &snapshot{
+		state: b, versions: map[jobs.EngineModel]ident.Version{}, services: map[ident.BackendName]ident.Service{},
+		accepts: map[ident.Job]jobs.Accept{}, silent: silentOwners(b, since), deadlines: map[ident.Job]clock.Millis{}, now: r.Clock.Mono(),
+		toggles: r.Without,
 	}
-	open := s.waiting()
+	open := s.jobsWithWaitingItems()
 	if len(open) == 0 {
 		return nil
 	}
@@ -73,7 +73,7 @@
 		accept := job.Accept
 		if route, ok := table.FindExact(accept.Host, accept.Prefix); ok {
 			accept.Service = route.Shares[0].Service
-			s.due[job.Job] = route.JobDeadline
+			s.deadlines[job.Job] = route.JobDeadline
 		}
 		s.accepts[job.Job] = accept
 	}
@@ -93,89 +93,89 @@
 	return silent
 }
 
-// waiting returns the open jobs that have items which nobody runs, in order.
-func (s *survey) waiting() []*jobs.Job {
-	left := map[ident.Job]bool{}
+// jobsWithWaitingItems returns the open jobs that have items which nobody runs, in order.
+func (s *snapshot) jobsWithWaitingItems() []*jobs.Job {
+	abandoned := map[ident.Job]bool{}
 	for owner := range s.silent {
-		for key := range s.book.Claims[owner] {
-			left[key.Job] = true
+		for key := range s.state.Claims[owner] {
+			abandoned[key.Job] = true
 		}
 	}
 	var open []*jobs.Job
-	for _, id := range s.book.JobOrder {
-		if job := s.book.Jobs[id]; job.Open() && (job.Waiting > 0 || left[id]) {
+	for _, id := range s.state.JobOrder {
+		if job := s.state.Jobs[id]; job.Open() && (job.Waiting > 0 || abandoned[id]) {
 			open = append(open, job)
 		}
 	}
 	return open
 }
 
-// addPieces adds the items that wait, in the order in which they should start,
+// addItems adds the items that wait, in the order in which they should start,
 // unless that has been done.
-func (s *survey) addPieces() {
-	if s.added {
+func (s *snapshot) addItems() {
+	if s.itemsAdded {
 		return
 	}
-	s.added = true
-	s.median = deal.MedianPace(s.engines)
-	for _, job := range s.waiting() {
-		var waits []deal.WaitingItem
+	s.itemsAdded = true
+	s.medianPace = deal.MedianPace(s.engines)
+	for _, job := range s.jobsWithWaitingItems() {
+		var waiting []deal.WaitingItem
 		for n := range job.Items {
 			item := &job.Items[n]
 			if item.Done || (item.Claim != 0 && !s.silent[item.Owner]) || s.now < item.DeferredUntil {
 				continue
 			}
-			waits = append(waits, deal.WaitingItem{
+			waiting = append(waiting, deal.WaitingItem{
 				Target: jobs.Target{Index: n, Replaces: item.Claim}, Group: item.Group, Expect: item.Expect,
-				Deferrable: s.patient(job, item), FailedOn: s.not(item),
+				Deferrable: s.deferrable(job, item), FailedOn: s.excludedEngines(item),
 			})
 		}
-		s.pieces = append(s.pieces, deal.Order(job.Job, waits, job.WantedGroups, job.GroupLengths, job.CarriedOverGroups)...)
+		s.items = append(s.items, deal.Order(job.Job, waiting, job.WantedGroups, job.GroupLengths, job.CarriedOverGroups)...)
 	}
 }
 
-// not returns the engines that an item should not go to.
-func (s *survey) not(item *jobs.Item) []ident.BackendName {
-	if !s.without.Enabled(toggle.Avoidance) {
+// excludedEngines returns the engines that an item should excludedEngines go to.
+func (s *snapshot) excludedEngines(item *jobs.Item) []ident.BackendName {
+	if !s.toggles.Enabled(toggle.Avoidance) {
 		return nil
 	}
 	return item.FailedOn
 }
 
 const (
-	// estimateError is how many times longer than expected a text may get. One in ten
+	// maxOverrunFactor is how many times longer than expected a text may get. One in ten
 	// got 1.76 times as long in a trial of 464 texts; the rest is a margin.
-	estimateError = 2.2
-	// spareTerm is how long before it must an item starts: with 0.5 s the items that
+	maxOverrunFactor = 2.2
+	// deferMargin is how long before it must an item starts: with 0.5 s the items that
 	// had time ended the steps themselves; see docs/POLICY.md.
-	spareTerm = 2500 * clock.Millis(1)
+	deferMargin = 2500 * clock.Millis(1)
 )
 
-// patient tells whether an item of a job ends before the job is due also if it
+// deferrable tells whether an item of a job ends before the job is due also if it
 // starts later, and if it takes longer than expected.
-func (s *survey) patient(job *jobs.Job, item *jobs.Item) bool {
-	due := s.due[job.Job]
-	if due == 0 || job.FromBacklog || !s.without.Enabled(toggle.Patience) {
+func (s *snapshot) deferrable(job *jobs.Job, item *jobs.Item) bool {
+	due := s.deadlines[job.Job]
+	if due == 0 || job.FromBacklog || !s.toggles.Enabled(toggle.Patience) {
 		return false
 	}
 	events := float64(item.Expect) / tokensPerEvent
-	term := clock.Millis(estimateError * events * s.median)
-	return s.now+term+spareTerm < job.SeenAt+due
+	term := clock.Millis(maxOverrunFactor * events * s.medianPace)
+	return s.now+term+deferMargin < job.SeenAt+due
 }
 
-// room tells whether an engine of those that are meant can take an item, over its
+// hasRoom tells whether an engine of those that are meant can take an item, over its
 // slots by so many at most. If none can, there is nothing to deal.
-func (s *survey) room(meant func(deal.Engine) bool, over int) bool {
+func (s *snapshot) hasRoom(match func(deal.Engine) bool, over int) bool {
 	return slices.ContainsFunc(s.engines, func(e deal.Engine) bool {
-		return e.Load.Items < e.Slots+over && meant(e)
+		return e.Load.Items < e.Slots+over && match(e)
 	})
 }
 
-// only returns the engines that are meant.
-func (s *survey) only(meant func(deal.Engine) bool) []deal.Engine {
+// enginesWhere returns the engines that are meant.
+func (s *snapshot) enginesWhere(match func(deal.Engine) bool) []deal.Engine {
 	var engines []deal.Engine
 	for _, e := range s.engines {
-		if meant(e) {
+		if match(e) {
 			engines = append(engines, e)
 		}
 	}
@@ -183,7 +183,7 @@
 }
 
 // addEngines adds the engines that may get items.
-func (r *Runner) addEngines(s *survey, table *paths.Table) {
+func (r *Runner) addEngines(s *snapshot, table *paths.Table) {
 	now := r.Clock.Mono()
 	services := map[ident.Service]bool{}
 	for _, accept := range s.accepts {
@@ -193,16 +193,16 @@
 		settings := table.Services[service]
 		for _, m := range r.Fleet.View().Backends[service] {
 			name := ident.BackendName(m.Name)
-			if m.State == fleet.Leaving || s.actor[name] == "" || (now < s.book.AvoidedUntil[name] && r.Without.Enabled(toggle.Avoidance)) || r.Fleet.MarkedLeaving(m.Name) {
+			if m.State == fleet.Leaving || s.actor[name] == "" || (now < s.state.AvoidedUntil[name] && r.Without.Enabled(toggle.Avoidance)) || r.Fleet.MarkedLeaving(m.Name) {
 				continue
 			}
 			s.services[name] = service
 			s.engines = append(s.engines, deal.Engine{
-				Name: name, Slots: cmp.Or(m.Slots, settings.Slots, 1), Load: s.book.Loads[name], MillisPerEvent: s.book.Paces[name].MillisPerEvent,
-				FailureRate: s.book.FailureRates[name],
+				Name: name, Slots: cmp.Or(m.Slots, settings.Slots, 1), Load: s.state.Loads[name], MillisPerEvent: s.state.Paces[name].MillisPerEvent,
+				FailureRate: s.state.FailureRates[name],
 			})
 			for _, model := range settings.Models {
-				if version, ready := Version(s.book, m, model, now); ready {
+				if version, ready := Version(s.state, m, model, now); ready {
 					s.versions[jobs.EngineModel{Engine: name, Model: model}] = version
 				}
 			}
@@ -217,6 +217,6 @@
 	key := jobs.EngineModel{Engine: ident.BackendName(m.Name), Model: model}
 	version := b.LoadedVersion(key, m.Versions[model])
 	w := b.Weights[key]
-	loading := w.Ordered > version && now-w.OrderSeenAt < loadTerm
+	loading := w.Ordered > version && now-w.OrderSeenAt < loadTimeout
 	return version, !loading
 }
--- a/croftmoor/batch/survey_bench_test.go
+++ b/croftmoor/batch/survey_bench_test.go
@@ -13,38 +13,38 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// bookLedger is a ledger that is read to its end and takes nothing.
-type bookLedger struct {
-	book  *jobs.State
+// stateLedger is a ledger that is read to its end and takes nothing.
+type stateLedger struct {
+	state  *jobs.State
 	clock *clock.Clock
 }
 
-func (l *bookLedger) View(look func(*jobs.State)) { look(l.book) }
-func (l *bookLedger) Changed() <-chan struct{}    { return nil }
-func (l *bookLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
-	return l.book.Next, nil
+func (l *stateLedger) View(visit func(*jobs.State)) { visit(l.state) }
+func (l *stateLedger) Changed() <-chan struct{}    { return nil }
+func (l *stateLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
+	return l.state.Next, nil
 }
-func (l *bookLedger) Await(context.Context, ident.Offset) error { return nil }
-func (l *bookLedger) Hurry()                                    {}
-func (l *bookLedger) Fresh() bool                               { return true }
-func (l *bookLedger) Away() bool                                { return false }
-func (l *bookLedger) Age() clock.Millis                         { return 0 }
-func (l *bookLedger) Idle() clock.Millis                        { return 0 }
-func (l *bookLedger) Since() clock.Millis                       { return -clock.Second }
-func (l *bookLedger) QuietSince() clock.Millis                  { return -clock.Second }
+func (l *stateLedger) Await(context.Context, ident.Offset) error { return nil }
+func (l *stateLedger) Hurry()                                    {}
+func (l *stateLedger) Fresh() bool                               { return true }
+func (l *stateLedger) Away() bool                                { return false }
+func (l *stateLedger) Age() clock.Millis                         { return 0 }
+func (l *stateLedger) Idle() clock.Millis                        { return 0 }
+func (l *stateLedger) Since() clock.Millis                       { return -clock.Second }
+func (l *stateLedger) QuietSince() clock.Millis                  { return -clock.Second }
 
 type noDecisions struct{}
 
 func (noDecisions) Add(trail.Decision) {}
 
-// crowd returns a runner that knows so many instances, engines and open jobs of
+// newTestRunner returns a runner that knows so many instances, engines and open jobs of
 // 160 items, three of four of which are claimed.
-func crowd(instances, engines, open int) *Runner {
+func newTestRunner(instances, engines, open int) *Runner {
 	const zones, items = 4, 160
 	zone := func(i int) ident.Zone { return ident.Zone(fmt.Sprintf("z-%d", i%zones)) }
 	c := clock.New()
-	book := jobs.NewState()
-	apply := func(r jobs.Record) { book.Apply(book.Next+1, r, c.Mono()) }
+	state := jobs.NewState()
+	apply := func(r jobs.Record) { state.Apply(state.Next+1, r, c.Mono()) }
 	for i := range instances {
 		apply(jobs.Heartbeat{By: ident.InstanceName(fmt.Sprintf("front-%d", i)), Zone: zone(i)})
 	}
@@ -73,7 +73,7 @@
 	routes := paths.NewTable(1, []paths.Route{{Name: "r", Host: "h", Prefix: "/p/", Shares: []paths.Share{{Service: "models", Weight: 1}}}},
 		[]paths.Service{{Name: "models", Slots: 8, Models: []ident.Model{"m"}}}, paths.Limits{})
 	r := &Runner{
-		Self: "front-0", Ledger: &bookLedger{book: book, clock: c}, Fleet: &table, Clock: c, Trail: noDecisions{},
+		Self: "front-0", Ledger: &stateLedger{state: state, clock: c}, Fleet: &table, Clock: c, Trail: noDecisions{},
 		Routes: func() *paths.Table { return routes },
 	}
 	r.Setup()
@@ -84,7 +84,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ instances, engines, jobs int }{{13, 11, 2}, {84, 44, 8}, {400, 400, 40}} {
 		b.Run(fmt.Sprintf("%d instances %d engines %d jobs", size.instances, size.engines, size.jobs), func(b *testing.B) {
-			r := crowd(size.instances, size.engines, size.jobs)
+			r := newTestRunner(size.instances, size.engines, size.jobs)
 			b.ReportAllocs()
 			for b.Loop() {
 				r.planClaims()
