--- a/croftmoor/batch/actors.go
+++ b/croftmoor/batch/actors.go
@@ -10,25 +10,25 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// silentZonePause is how long the engines of an availability zone are left alone in
-// which no instance is heard any more: most likely the zone is cut off, and an
-// item sent there only fails after a while.
+// silentZonePause is how long the engines of an availability zone get no items after
+// all of its instances have stopped sending heartbeats: the zone is probably cut off,
+// and its engines would fail each item only after a timeout.
 const silentZonePause = 10 * clock.Second
 
-// actors says which instance acts for each engine. It is worked out anew only
-// when instances or engines have come or gone, since it costs a hash for each
-// pair of them.
+// actors maps each engine to its actor, the instance that runs its items. The map costs
+// one hash for each pair of engine and instance, so it is computed again only when the
+// instances, the silent zones or the view of the fleet change.
 type actors struct {
-	view   *fleet.View
-	live   map[ident.InstanceName]ident.Zone
-	silent map[ident.Zone]bool
+	view     *fleet.View
+	live     map[ident.InstanceName]ident.Zone
+	silent   map[ident.Zone]bool
 	byEngine map[ident.BackendName]ident.InstanceName
-	// dealers are the instances that deal, as far as they have been worked out.
+	// dealers caches the dealer of each service; see Runner.dealer.
 	dealers map[ident.Service]ident.InstanceName
 }
 
-// refresh returns the instance that acts for each server of the view; instances that
-// were not heard since the given time count as gone.
+// refresh returns the actor of each engine in view, without the engines of silent zones.
+// Instances whose last heartbeat is before since count as gone.
 func (a *actors) refresh(b *jobs.State, view *fleet.View, now, since clock.Millis) map[ident.BackendName]ident.InstanceName {
 	live := map[ident.InstanceName]ident.Zone{}
 	for _, m := range b.Live(since) {
@@ -57,7 +57,9 @@
 	return a.byEngine
 }
 
-// silentZones returns the zones that have fallen silent as a whole lately.
+// silentZones returns the zones without a live instance in which at least one instance
+// was last heard between from and since. It does not count instances that left or were
+// superseded.
 func silentZones(b *jobs.State, live map[ident.InstanceName]ident.Zone, from, since clock.Millis) map[ident.Zone]bool {
 	zones := map[ident.Zone]bool{}
 	for _, m := range b.Members {
@@ -71,9 +73,9 @@
 	return zones
 }
 
-// actorFor returns the instance that acts for an engine: by rendezvous hashing
-// among those of its availability zone, so that texts stay there, or among all
-// if it has none.
+// actorFor returns the actor of an engine. It is chosen by rendezvous hashing among the
+// instances of the engine's availability zone, which keeps texts within the zone, or
+// among all instances if the zone has none.
 func actorFor(engine fleet.Member, sameZone, all []views.Member) ident.InstanceName {
 	if len(sameZone) == 0 {
 		sameZone = all
--- a/croftmoor/batch/ahead_test.go
+++ b/croftmoor/batch/ahead_test.go
@@ -31,9 +31,8 @@
 	return nil, nil
 }
 
-// A body is read ahead by just two instances, however many there are: read by each,
-// the bodies of one wave of steps exceed what the log serves to all of them; read by
-// one, it is lost with that one.
+// A body must be prefetched by just bodyReplicas instances: prefetched by all, the bodies
+// exceed what the log can serve; prefetched by one, a body is lost with that instance.
 func TestBodiesAreReadAheadTwice(t *testing.T) {
 	for _, instances := range []int{4, 13, 84} {
 		t.Run(fmt.Sprintf("%d instances", instances), func(t *testing.T) {
@@ -54,7 +53,7 @@
 				r.prefetchJob(t.Context(), "job-0")
 			}
 			if len(blobs.reads) != waiting {
-				t.Errorf("%d bodies read ahead of %d items that wait", len(blobs.reads), waiting)
+				t.Errorf("%d bodies prefetched for %d waiting items", len(blobs.reads), waiting)
 			}
 			for span, reads := range blobs.reads {
 				if reads != bodyReplicas {
--- a/croftmoor/batch/alone.go
+++ b/croftmoor/batch/alone.go
@@ -13,18 +13,14 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// maxStateAge is the age of the state beyond which nothing is begun from it; an
-// instance that has not read the ledger yet counts as older.
+// maxStateAge is the greatest age of the state from which items are begun without
+// claims. The age of a state that was never read is greater.
 const maxStateAge = 30 * clock.Second
 
-// beginWithoutClaims runs items without claims while the ledger can't be reached: each that
-// nobody had claimed in the state that was read last falls to one engine which can
-// run it, and so to the instance that acted for it then. What is made is listed when
-// the ledger is back; an item that ran twice is listed once.
-//
-// The load it answers: the log is away for all for 7 s while four steps wait. When
-// items fell to instances, whether these had an engine with the version or not, 30
-// began in 2 s, of several hundred that engines with room could have run.
+// beginWithoutClaims starts items while the ledger is unreachable. Rendezvous hashing
+// over the last state read assigns each unclaimed item to one engine that can run it,
+// and only that engine's actor starts it. The results are listed once the ledger
+// answers again; if two instances ran an item, only the first result counts.
 func (r *Runner) beginWithoutClaims(ctx context.Context) {
 	table := r.Routes()
 	if table == nil || !r.Ledger.Away() || r.Ledger.Age() > maxStateAge {
@@ -55,8 +51,8 @@
 	}
 }
 
-// ownItems returns the waiting items that fall to engines of this instance and that it
-// does not run already; mu is held.
+// ownItems returns the waiting items that rendezvous hashing assigns to engines of this
+// instance, without those that it already runs. The caller holds mu.
 func (r *Runner) ownItems(s *snapshot) []deal.RankedItem {
 	var own []deal.RankedItem
 	rendezvous := deal.NewRendezvous(s.engines, s.allowed)
@@ -71,18 +67,19 @@
 	return own
 }
 
-// bodyReplicas is how many instances read a body ahead. The first is often the one that is
-// cut off or restarted in the same trouble.
+// bodyReplicas is the number of instances that prefetch a body. A second one is needed
+// because one failure often takes away both the log and an instance.
 const bodyReplicas = 2
 
-// replicasOf returns which of the instances that act for engines read the body of an
-// item ahead, best first, by rendezvous hashing: who runs it is not known yet.
+// replicasOf returns the instances that prefetch the body of an item, best first. They
+// are chosen by rendezvous hashing among actors, since the instance that will run the
+// item is not known yet.
 func replicasOf(id ident.Item, actors []views.Member) []views.Member {
 	ranked := views.Rank("replica "+string(id), actors)
 	return ranked[:min(bodyReplicas, len(ranked))]
 }
 
-// actingInstances returns the instances that act for engines which may get items.
+// actingInstances returns the actors of the engines that may get items.
 func (s *snapshot) actingInstances() []views.Member {
 	known := map[ident.InstanceName]bool{}
 	var actors []views.Member
@@ -95,8 +92,9 @@
 	return actors
 }
 
-// ownEngines returns the engines that this instance acts for, with the load of
-// its own runs: the ledger's does not fall while it can't be read; mu is held.
+// ownEngines returns the engines that this instance acts for. Their load counts this
+// instance's own runs, because the ledger's load does not fall while the ledger is
+// unreachable. The caller holds mu.
 func (r *Runner) ownEngines(s *snapshot) []deal.Engine {
 	loads := map[ident.BackendName]int{}
 	for _, run := range r.runs {
@@ -127,12 +125,13 @@
 	return claims
 }
 
-// prefetchWindow is the span over which the instances read the bodies of a new job
-// ahead: most items are claimed within it, and whoever runs an item reads its body
-// in any case.
+// prefetchWindow is the time after a job's arrival within which instances prefetch its
+// bodies. Most items are claimed within it, and an instance that runs an item reads the
+// body in any case.
 const prefetchWindow = 500 * clock.Millis(1)
 
-// schedulePrefetch has the bodies of jobs read that have just come; mu is held.
+// schedulePrefetch prefetches the bodies of jobs that are new in open, each after a
+// delay that differs between instances. The caller holds mu.
 func (r *Runner) schedulePrefetch(ctx context.Context, open map[ident.Job]bool) {
 	for id := range open {
 		if r.prefetched[id] {
@@ -148,9 +147,8 @@
 	r.prefetched = open
 }
 
-// prefetchJob reads the bodies of those waiting items of a job into the cache of which this
-// instance holds a replica. So each body is read ahead twice, however many instances there
-// are.
+// prefetchJob reads into the cache those bodies of a job's waiting items of which this
+// instance keeps a replica. It stops at the first error.
 func (r *Runner) prefetchJob(ctx context.Context, id ident.Job) {
 	for _, span := range r.bodiesToPrefetch(id) {
 		if _, err := r.Blobs.Get(ctx, span); err != nil {
@@ -162,7 +160,8 @@
 	}
 }
 
-// bodiesToPrefetch returns the bodies of a job that this instance should read bodiesToPrefetch.
+// bodiesToPrefetch returns the bodies of a job's waiting items of which this instance
+// keeps a replica.
 func (r *Runner) bodiesToPrefetch(id ident.Job) []jobs.Span {
 	table := r.Routes()
 	if table == nil {
@@ -194,12 +193,12 @@
 	return spans
 }
 
-// bodyReadTimeout is how long the log is asked for a body before replicas are: one that takes
-// fifty times its usual 4 ms comes within it, one that is silent keeps no item longer.
+// bodyReadTimeout is how long a read of a body from the log may take before the replicas
+// are asked. It is long enough for a slow answer of the log.
 const bodyReadTimeout = 1 * clock.Second
 
-// readBody returns what is kept of an item: from the log, or while that does not answer
-// from an instance that has read it ahead.
+// readBody returns the encoded item. It asks the log first, unless the log is
+// unreachable, then the instances that prefetched the body, then the log again.
 func (r *Runner) readBody(ctx context.Context, item *jobs.Item) ([]byte, error) {
 	if !r.Ledger.Away() {
 		first, cancel := context.WithTimeout(ctx, bodyReadTimeout.Duration())
@@ -217,7 +216,8 @@
 	return r.Blobs.Get(ctx, item.Body)
 }
 
-// replicaAddresses returns where an item's body may have been read ahead.
+// replicaAddresses returns the addresses of the other instances that may have prefetched
+// an item's body.
 func (r *Runner) replicaAddresses(id ident.Item) []ident.Address {
 	table := r.Routes()
 	if table == nil {
--- a/croftmoor/batch/alone_test.go
+++ b/croftmoor/batch/alone_test.go
@@ -7,7 +7,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// An instance that acts for plain servers only has no engine to run an item at.
+// No items must fall to an instance that acts only for servers which are no engines.
 func TestShareIsAmongThoseWithEngines(t *testing.T) {
 	shared := 0
 	waiting := 0
--- a/croftmoor/batch/away_test.go
+++ b/croftmoor/batch/away_test.go
@@ -15,7 +15,7 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// unreachableLedger is a ledger that was read to its end and answers no more.
+// unreachableLedger was read to its end and does not answer any more.
 type unreachableLedger struct{ *stateLedger }
 
 func (l unreachableLedger) Fresh() bool       { return false }
@@ -25,23 +25,23 @@
 	return 0, errors.New("away")
 }
 
-// blockingEngines notes where each item is begun, and never ends one.
+// blockingEngines record where each item is begun, and run it until it is cancelled.
 type blockingEngines struct {
 	mu sync.Mutex
-	at map[ident.Item][]ident.BackendName
+	begunAt map[ident.Item][]ident.BackendName
 }
 
 func (*blockingEngines) Ended(context.Context, fleet.Member) bool { return false }
 
 func (e *blockingEngines) Run(ctx context.Context, engine fleet.Member, item work.Item, _ int) (Events, error) {
 	e.mu.Lock()
-	e.at[item.ID] = append(e.at[item.ID], ident.BackendName(engine.Name))
+	e.begunAt[item.ID] = append(e.begunAt[item.ID], ident.BackendName(engine.Name))
 	e.mu.Unlock()
 	<-ctx.Done()
 	return nil, fault.New("t", Broken, "stopped")
 }
 
-// replicaBlobs has every body, as instances have read them ahead.
+// replicaBlobs returns bodies from other instances only.
 type replicaBlobs struct{ countingBlobs }
 
 func (b *replicaBlobs) Get(context.Context, jobs.Span) ([]byte, error) {
@@ -52,12 +52,12 @@
 	return work.Encode(work.Item{ID: ident.Item(fmt.Sprintf("0-%d", span.First))})
 }
 
-// The log goes away for all while a step of 160 items waits and a quarter of 44
-// engines have its version. Callers get the step only if its items begin all the same:
-// each at one engine that can run it, as many as these have slots for.
+// While no instance can reach the log, each item must begin at exactly one engine that can
+// run it, and nearly all slots of such engines must be used. Here a quarter of the engines
+// have the job's version.
 func TestItemsBeginWhileTheLogIsAway(t *testing.T) {
 	const instances, engines, slots = 20, 44, 8
-	began := &blockingEngines{at: map[ident.Item][]ident.BackendName{}}
+	began := &blockingEngines{begunAt: map[ident.Item][]ident.BackendName{}}
 	ctx, stop := context.WithCancel(t.Context())
 	var runners []*Runner
 	for n := range instances {
@@ -87,7 +87,7 @@
 	c := clock.New()
 	for range 300 {
 		began.mu.Lock()
-		n := len(began.at)
+		n := len(began.begunAt)
 		began.mu.Unlock()
 		if n == running {
 			break
@@ -99,17 +99,17 @@
 		r.group.Wait()
 	}
 	const room = engines / 4 * slots
-	if len(began.at) < room*4/5 || len(began.at) > room {
-		t.Errorf("%d items began, want nearly the %d that the engines have slots for", len(began.at), room)
+	if len(began.begunAt) < room*4/5 || len(began.begunAt) > room {
+		t.Errorf("%d items began, want nearly the %d that the engines have slots for", len(began.begunAt), room)
 	}
-	for id, at := range began.at {
+	for id, at := range began.begunAt {
 		if len(at) != 1 {
 			t.Errorf("%s began at %v, want one engine", id, at)
 		}
 	}
 }
 
-// silentBlobs never answers from the log.
+// silentBlobs does not answer reads from the log.
 type silentBlobs struct{ replicaBlobs }
 
 func (b *silentBlobs) Get(ctx context.Context, _ jobs.Span) ([]byte, error) {
@@ -117,8 +117,8 @@
 	return nil, ctx.Err()
 }
 
-// While the log takes calls and says nothing, an item's body comes from an instance that has
-// read it ahead, and not only when all tries at the log have run out of their time.
+// If the log accepts reads and does not answer, the body must come from a replica after
+// bodyReadTimeout, not after the whole of the caller's time.
 func TestBodyOfASilentLog(t *testing.T) {
 	r := newTestRunner(4, 4, 1)
 	r.Blobs = &silentBlobs{}
--- a/croftmoor/batch/back_test.go
+++ b/croftmoor/batch/back_test.go
@@ -12,7 +12,7 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// recordingLedger notes the records of each append.
+// recordingLedger records each append.
 type recordingLedger struct {
 	*stateLedger
 	appends [][]jobs.Record
@@ -23,7 +23,7 @@
 	return l.state.Next, nil
 }
 
-// busyEngines have no room.
+// busyEngines reject every item as Busy.
 type busyEngines struct{}
 
 func (busyEngines) Ended(context.Context, fleet.Member) bool { return false }
@@ -32,14 +32,15 @@
 	return nil, fault.New("t", Busy, "full")
 }
 
-// bodyBlobs has an item's body.
+// bodyBlobs returns the same body for every span.
 type bodyBlobs struct{ countingBlobs }
 
 func (b *bodyBlobs) Get(context.Context, jobs.Span) ([]byte, error) {
 	return work.Encode(work.Item{ID: "0-0"})
 }
 
-// An item that an engine has no room for goes on to its next one after one append.
+// The record that an engine is avoided must not cost an append of its own: it would delay
+// the item's next run.
 func TestItemsAreGivenBackInOneAppend(t *testing.T) {
 	r := newTestRunner(4, 4, 1)
 	book, _ := r.Ledger.(*stateLedger)
--- a/croftmoor/batch/batch.go
+++ b/croftmoor/batch/batch.go
@@ -1,6 +1,6 @@
-// Package batch has the items of batch jobs run at model engines, and lists their
-// results. The ledger decides everything that instances must agree on; this package
-// writes to it and acts on what it reads back. Callers are answered by package intake.
+// Package batch claims the items of batch jobs, runs them at model engines and lists
+// their results. Instances agree through the ledger: this package appends records to it
+// and acts on the state that it reads back. Package intake answers the callers.
 package batch
 
 import (
@@ -16,129 +16,132 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// Event is a part of an engine's answer.
+// Event is one piece of an engine's answer.
 type Event struct {
-	// Index counts the events of a text from 1.
+	// Index numbers the events of a text, from 1.
 	Index   int
 	Version ident.Version
 	Data    string
 }
 
-// Events is an engine's answer as it comes.
+// Events is a stream of the events of one answer.
 type Events interface {
-	// Next returns the next event; it reports false at the proper end.
+	// Next returns the next event; it returns false at the regular end of the answer.
 	Next() (Event, bool, error)
-	// Version is the version that was named at the head of the answer.
+	// Version returns the model version given at the head of the answer.
 	Version() ident.Version
-	// Shares tells that the engine shares its machine with others, so that it is slow for
-	// a while now and then.
+	// Shares reports whether the engine shares its machine with others and is therefore
+	// slow at times.
 	Shares() bool
 	Close()
 }
 
-// EngineKind classifies what went wrong at an engine.
+// EngineKind classifies the errors of a run at an engine.
 type EngineKind string
 
-// What can go wrong at an engine.
+// The kinds of engine errors.
 const (
-	// NotRun means that the engine did not begin.
+	// NotRun means that the engine did not start the item.
 	NotRun EngineKind = "NotRun"
-	// Busy is NotRun because the engine is full or loads weights.
+	// Busy means that the engine did not start the item because it is full or is
+	// loading weights.
 	Busy EngineKind = "Busy"
-	// Broken means that the answer ended before its end.
+	// Broken means that the answer was cut off or invalid.
 	Broken EngineKind = "Broken"
-	// Silent means that the engine said nothing for too long; it may live.
+	// Silent means that the engine sent no event in time; it may still be running.
 	Silent EngineKind = "Silent"
-	// Failed means that the engine ran the item and failed it.
+	// Failed means that the engine ran the item and reported a failure.
 	Failed EngineKind = "Failed"
-	// Slow means that the rest is better made by another engine.
+	// Slow means that another engine is expected to finish the text sooner.
 	Slow EngineKind = "Slow"
 	// Impossible means that no engine can ever run the item.
 	Impossible EngineKind = "Impossible"
 )
 
-// EngineError is the error of an engine.
+// EngineError is an error of a run at an engine.
 type EngineError = fault.Error[EngineKind]
 
-// Engines runs items.
+// Engines runs items at engines.
 type Engines interface {
-	// Run starts an item at an engine; from is the last event that is known.
+	// Run starts an item at an engine; from is the index of the last event that the
+	// caller already has.
 	Run(ctx context.Context, engine fleet.Member, item work.Item, from int) (Events, error)
-	// Ended tells whether nobody listens at an engine's address any more.
+	// Ended reports whether nothing listens at the engine's address any more.
 	Ended(ctx context.Context, engine fleet.Member) bool
 }
 
-// Guard knows the requests that end the engines that run them, as far as any instance
-// has seen.
+// Guard tracks requests during which engines crashed, as seen by all instances.
 type Guard interface {
-	// Held returns for how long a request goes to no engine, and why; 0 if it may.
+	// Held returns how long the request must not be sent to any engine, and the reason;
+	// left is 0 if it may be sent.
 	Held(request poison.Fingerprint) (left clock.Millis, why string)
-	// Ended tells that an engine ended while it ran a request.
+	// Ended records that an engine ended while it ran the request.
 	Ended(request poison.Fingerprint, engine ident.BackendName)
-	// Answered tells that an engine answered a request.
+	// Answered records that an engine answered the request.
 	Answered(request poison.Fingerprint)
 }
 
-// RewardKind classifies what went wrong with a reward call.
+// RewardKind classifies the errors of a reward call.
 type RewardKind string
 
-// What can go wrong with a reward call.
+// The kinds of reward errors.
 const (
-	// RewardFailed means that the service answered that it failed.
+	// RewardFailed means that the service answered with a failure.
 	RewardFailed RewardKind = "RewardFailed"
-	// RewardLost means that there was no answer to go by.
+	// RewardLost means that the call got no usable answer.
 	RewardLost RewardKind = "RewardLost"
-	// RewardHeld means that the call goes to no server, since servers ended under it.
+	// RewardHeld means that the call must not be sent because servers ended while they
+	// handled it.
 	RewardHeld RewardKind = "RewardHeld"
 )
 
-// RewardError is the error of a reward call.
+// RewardError is an error of a reward call.
 type RewardError = fault.Error[RewardKind]
 
-// Rewards scores texts.
+// Rewards calls the reward service that scores texts.
 type Rewards interface {
-	// Score makes the call; lost is how many calls of it had no answer to go by.
+	// Score makes the call; lost is the number of earlier tries without a usable answer.
 	Score(ctx context.Context, reward work.Reward, lost int) (string, error)
-	// Attempts is how many failures of the call make its item hopeless.
+	// Attempts returns the number of failures after which the item is terminated.
 	Attempts(reward work.Reward) int
 }
 
-// Ledger is the shared state as this package uses it.
+// Ledger is the shared log of records and the state that they lead to.
 type Ledger interface {
 	View(visit func(*jobs.State))
 	Changed() <-chan struct{}
 	Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error)
 	Await(ctx context.Context, next ident.Offset) error
-	// Hurry has the log read without a pause.
+	// Hurry makes the ledger read the log at once.
 	Hurry()
 	Fresh() bool
-	// Away tells that the log does not answer.
+	// Away reports whether the log does not answer.
 	Away() bool
-	// Age is how long ago the state was last known to be current.
+	// Age returns the time since the state was last known to be current.
 	Age() clock.Millis
-	// Idle is the same, for use within View.
+	// Idle returns the same as Age, for calls within View.
 	Idle() clock.Millis
-	// Since is when an instance that acts for an engine must have been heard
-	// last, QuietSince when the owner of an item must have been.
+	// Since returns the earliest time of a last heartbeat at which a member counts as
+	// alive, QuietSince the earlier one that applies to owners of items and to actors.
 	Since() clock.Millis
 	QuietSince() clock.Millis
 }
 
-// Blobs keeps bodies and texts.
+// Blobs stores the bodies of items and the texts of results.
 type Blobs interface {
 	PutText(ctx context.Context, job ident.Job, text []byte) (jobs.Span, error)
 	Get(ctx context.Context, span jobs.Span) ([]byte, error)
-	// FetchFrom asks another instance for what it holds in memory.
+	// FetchFrom reads a span from another instance's memory.
 	FetchFrom(ctx context.Context, from ident.Address, span jobs.Span) ([]byte, error)
 }
 
-// Counts counts what becomes of items.
+// Counts counts claimed and listed items.
 type Counts interface {
 	Claimed(items int)
 	Listed()
 }
 
-// Decisions takes a line for each decision.
+// Decisions is the decision log.
 type Decisions interface {
 	Add(d trail.Decision)
 }
--- a/croftmoor/batch/dealer.go
+++ b/croftmoor/batch/dealer.go
@@ -11,36 +11,34 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// One instance, the dealer, claims the items of a service on behalf of those that act
-// for its engines. All instances compute the same deal, but each from the ledger as
-// far as it has read it: when each claimed its own part, items were claimed 1.3 to 2.1
-// times with 13 instances and 7.4 times with 84, and ran at the engine of whoever
-// came first, not at the best one.
+// One instance, the dealer, claims the items of a service on behalf of the instances that
+// act for its engines. All instances could compute the same assignment, but each has read
+// the ledger to a different offset: if each claimed its own part, items would be claimed
+// several times and would not run at the best engine.
 //
-// The dealer is the first of the living followers by rendezvous hashing. It holds no
-// lease: of two claims of an item the first in the ledger counts, so two dealers
-// waste records and break nothing. While it is silent each instance places items at
-// its own engines, and after QuietSince another one deals.
+// The dealer is chosen among the live instances by rendezvous hashing and needs no lease:
+// of two claims for an item the first in the ledger counts, so a second dealer only wastes
+// records. If the dealer is silent, each instance claims items for its own idle engines,
+// and once QuietSince is past the dealer's last heartbeat, another instance deals.
 
-// idleBeforeOwnShare is how long an engine may have room for an item that waits before the
-// instance that acts for it no longer leaves it to the dealer: the dealer's record
-// takes some 50 ms to come, and a slot that rests costs a step less than items that
-// race.
+// idleBeforeOwnShare is how long an own engine with room may get nothing from the dealer
+// before this instance claims, for that engine, items that rendezvous hashing assigns to
+// its own engines. It is longer than a claim of the dealer usually takes to arrive: an
+// idle slot costs less than items that several instances claim.
 const idleBeforeOwnShare = 400 * clock.Millis(1)
 
-// idleCheckPeriod is the pause between two looks at own engines that may have rested: a deal
-// of its own after each batch of records, up to 60 a second, took an instance 1 to 4 ms
-// with 300 engines and 1,000 items that wait (measured on this function).
+// idleCheckPeriod is the least time between two checks for own idle engines. A check
+// costs an assignment, which is too much after every batch of records.
 const idleCheckPeriod = 100 * clock.Millis(1)
 
-// idleBeforeAnyItem is how long an engine may have rested before its instance takes any item
-// rather than those that fall to it by rendezvous hashing: without a dealer all
-// instances would claim the same longest item, one of them with success, and again
-// for the next one.
+// idleBeforeAnyItem is how long an own engine with room may get nothing before this
+// instance claims any waiting item for it. Before that, only items assigned by rendezvous
+// hashing are claimed: otherwise, without a dealer, all instances would claim the same
+// longest item.
 const idleBeforeAnyItem = 1200 * clock.Millis(1)
 
-// dealer returns the instance that deals for a service; mu is held, and the actors
-// have been worked out.
+// dealer returns the instance that deals for a service. The caller holds mu and has
+// refreshed r.actors.
 func (r *Runner) dealer(service ident.Service) ident.InstanceName {
 	if r.actors.dealers == nil {
 		r.actors.dealers = map[ident.Service]ident.InstanceName{}
@@ -57,7 +55,8 @@
 	return dealer.Name
 }
 
-// planClaims returns the claims that this instance should make now.
+// planClaims returns the claims that this instance should make now: as the dealer, and
+// for its own engines that the dealer left idle.
 func (r *Runner) planClaims() []jobs.Claim {
 	table := r.Routes()
 	if table == nil {
@@ -92,8 +91,8 @@
 	return claims
 }
 
-// claimsForIdleEngines returns claims for engines that this instance acts for and that have had
-// room for long without the dealer giving them an item.
+// claimsForIdleEngines returns claims for the engines in own that have had room for
+// longer than idleBeforeOwnShare, and updates idleSince.
 func (r *Runner) claimsForIdleEngines(s *snapshot, own func(deal.Engine) bool) []jobs.Claim {
 	idle := map[ident.BackendName]clock.Millis{}
 	longest := clock.Millis(0)
@@ -120,8 +119,8 @@
 	return r.newClaims(s, deal.Assign(items, s.enginesWhere(idleLong), 0, s.allowed))
 }
 
-// newClaims turns a deal into newClaims, one for each job and engine, and leaves out what
-// this instance has claimed already.
+// newClaims turns assignments into claims, one for each job and engine, and skips items
+// with a pending claim of this instance.
 func (r *Runner) newClaims(s *snapshot, deals []deal.Assignment) []jobs.Claim {
 	type target struct {
 		job    ident.Job
--- a/croftmoor/batch/harm.go
+++ b/croftmoor/batch/harm.go
@@ -13,21 +13,21 @@
 	"croftmoor.dev/kernel/poison"
 )
 
-// maxDefer is for how long at most an item goes to no engine before its guard is asked
-// again: the item may be cleared meanwhile. It costs a claim and a look at the body each
-// time, for each held item.
+// maxDefer is how long an item that the guard holds back is deferred before the guard
+// is asked again, since it may clear the item earlier than announced. Each time costs a
+// claim and a read of the body.
 const maxDefer = 2 * clock.Second
 
-// fingerprint returns what an item shares with others that ask for the same.
+// fingerprint returns the identity that an item shares with equal requests.
 func fingerprint(item work.Item) poison.Fingerprint {
 	return poison.Subject{
 		Organisation: item.Organisation, Host: item.Host, Method: http.MethodPost, Target: item.Path, Body: item.Body,
 	}.Fingerprint()
 }
 
-// held returns for how long an item goes to no engine, and why; 0 if it may. It is
-// asked by the instance that is to run the item, which alone has its body; those that
-// share items out learn of it from the ledger.
+// held returns how long an item must not be sent to any engine, and the reason; left is
+// 0 if it may be sent. Only the instance that runs the item can ask, since it has the
+// body; other instances learn of the delay from the Defer record.
 func (r *Runner) held(item work.Item) (left clock.Millis, why string) {
 	if r.Guard == nil {
 		return 0, ""
@@ -35,8 +35,9 @@
 	return r.Guard.Held(fingerprint(item))
 }
 
-// deferItem gives an item back that is to go to no engine for a while. It is not given
-// up: that would be a result, which its trainer may have only at the end of the job.
+// deferItem yields an item that must not be sent to any engine for a while. It does not
+// terminate the item: that would be a result, which the trainer may get only at the end of
+// the job.
 func (r *Runner) deferItem(ctx context.Context, prog *progress, left clock.Millis, why string) {
 	c := prog.claim
 	r.yieldItem(ctx, prog, jobs.Yield{}, why, jobs.Defer{
@@ -44,8 +45,9 @@
 	})
 }
 
-// reportEngineEnd tells the guard what the end of a run says of the item: an engine that failed
-// it lives, one that listens no more has ended under it, unless it was about to leave.
+// reportEngineEnd informs the guard of a run that ended with err. An engine that reported
+// a failure is alive; one that no longer listens ended while it ran the item, unless it
+// was leaving.
 func (r *Runner) reportEngineEnd(ctx context.Context, item work.Item, prog *progress, err error) {
 	kind := fault.KindOf[EngineKind](err)
 	if kind == Failed || kind == Impossible {
@@ -58,7 +60,7 @@
 	r.Guard.Ended(fingerprint(item), ident.BackendName(engine.Name))
 }
 
-// reportAnswered tells the guard that an engine reportAnswered an item.
+// reportAnswered informs the guard that an engine answered an item.
 func (r *Runner) reportAnswered(item work.Item) {
 	if r.Guard != nil {
 		r.Guard.Answered(fingerprint(item))
--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -13,48 +13,47 @@
 )
 
 const (
-	// windowEvents is how many of the last events tell the present speed, and also
-	// how often it is asked whether another engine would be faster.
+	// windowEvents is the number of events over which the pace is measured, and between
+	// two comparisons with other engines.
 	windowEvents = 8
-	// keptTimes is how many are kept: two such spans, since an engine that shares its machine
-	// is slow for some 0.6 s at a time, which is less than two spans of slow events.
+	// keptTimes is the number of event times kept. Two windows are longer than the
+	// short slowdowns of an engine that shares its machine.
 	keptTimes = 2 * windowEvents
-	// tokensPerEvent is how many tokens an event is taken to hold where the length
-	// of a text is only known in tokens.
+	// tokensPerEvent converts expected lengths, which are in tokens, to events.
 	tokensPerEvent = 52
-	// A text that has reached its expected length goes on for a share of what it
-	// has, and for leastLeft events at least: estimates are often far too low, and
-	// the longer a text the more it still grows.
+	// A text that has reached its expected length is expected to go on for its present
+	// length divided by overrunDivisor, and for at least minEventsLeft events:
+	// estimates are often far too low, and longer texts grow by more.
 	overrunDivisor = 2
-	minEventsLeft = 20
+	minEventsLeft  = 20
 )
 
 // meter measures the speed of a run.
 type meter struct {
 	clock *clock.Clock
-	// startedAt is when the run was begun.
+	// startedAt is the time at which the run was started.
 	startedAt clock.Millis
 
-	events int
-	firstAt  clock.Millis
-	lastAt   clock.Millis
-	// times are the times of the last events.
+	events  int
+	firstAt clock.Millis
+	lastAt  clock.Millis
+	// times are the arrival times of the last events, as a ring.
 	times [keptTimes]clock.Millis
-	// sharesMachine tells that the engine sharesMachine its machine with others.
+	// sharesMachine is set if the engine shares its machine with others.
 	sharesMachine bool
-	// slowdownSum is the sum of what was seen of how many times longer events took for
-	// what ran beside, looks how often that was looked at.
+	// slowdownSum is the sum of the sampled slowdown factors that the engine's other
+	// load causes, loadSamples their number.
 	slowdownSum float64
-	loadSamples  int
+	loadSamples int
 }
 
-// sampleLoad notes what runs at the engine beside this run.
+// sampleLoad records the load of the engine's other items.
 func (m *meter) sampleLoad(beside jobs.Load) {
 	m.slowdownSum += deal.Slowdown(beside)
 	m.loadSamples++
 }
 
-// meanSlowdown returns how many times longer an event took for what ran beside.
+// meanSlowdown returns the mean factor by which other items slowed the run down.
 func (m *meter) meanSlowdown() float64 {
 	if m.loadSamples == 0 {
 		return 1
@@ -62,7 +61,7 @@
 	return m.slowdownSum / float64(m.loadSamples)
 }
 
-// recordEvent counts an event that has just come.
+// recordEvent counts an event that arrives now.
 func (m *meter) recordEvent() {
 	now := m.clock.Mono()
 	if m.events == 0 {
@@ -73,12 +72,13 @@
 	m.events++
 }
 
-// comparisonDue tells whether it is time to compare speeds.
+// comparisonDue reports whether to compare the pace with that of other engines now.
 func (m *meter) comparisonDue() bool {
 	return m.events > windowEvents && m.events%windowEvents == 0
 }
 
-// pace returns the time of an event lately, in milliseconds; 0 if unknown.
+// pace returns the mean time of an event in the last window, in milliseconds; 0 if
+// unknown.
 func (m *meter) pace() float64 {
 	if m.events <= windowEvents {
 		return 0
@@ -86,9 +86,9 @@
 	return m.paceBefore(0)
 }
 
-// sustainedPace returns the time of an event that is expected to last: where the engine shares its
-// machine, that of the faster one of the last two spans, so that a slow spell moves nothing.
-// 0 is unknown.
+// sustainedPace returns the time of an event that is expected to last, in milliseconds;
+// 0 if unknown. If the engine shares its machine, it is the faster of the last two
+// windows, because a short slowdown must not move the item.
 func (m *meter) sustainedPace() float64 {
 	if !m.sharesMachine {
 		return m.pace()
@@ -99,15 +99,16 @@
 	return min(m.paceBefore(0), m.paceBefore(windowEvents))
 }
 
-// paceBefore returns the time of an event in the span of meterEvents that ended so many
-// events ago.
+// paceBefore returns the mean time of an event, in milliseconds, in the window that ended
+// ago events before the last one.
 func (m *meter) paceBefore(ago int) float64 {
 	newest := m.times[(m.events-1-ago)%keptTimes]
 	oldest := m.times[(m.events-ago-windowEvents)%keptTimes]
 	return float64(newest-oldest) / float64(windowEvents-1)
 }
 
-// timeToFirstEvent returns how long the engine took to the first event.
+// timeToFirstEvent returns the time from the start to the first event; 0 if there is
+// none.
 func (m *meter) timeToFirstEvent() clock.Millis {
 	if m.events == 0 {
 		return 0
@@ -115,19 +116,18 @@
 	return m.firstAt - m.startedAt
 }
 
-// timing returns what the run tells of its engine, as if nothing had run beside.
-// The first event is left out, because it holds the wait for a slot and the
-// reading of the prompt.
+// timing returns the speed of the run as if the engine had had no other items. It leaves
+// out the first event, which includes the wait for a slot and the prefill.
 func (m *meter) timing(engine ident.BackendName) jobs.Timing {
 	return jobs.Timing{Engine: engine, Events: max(m.events-1, 0), Millis: int(float64(m.lastAt-m.firstAt) / m.meanSlowdown())}
 }
 
-// shouldMove tells whether the rest of a text should be made by another engine that
-// has a free slot.
+// shouldMove reports whether another engine with a free slot should make the rest of the
+// text; events is the number of events so far.
 func (r *Runner) shouldMove(c claimed, events int, m *meter) bool {
 	table := r.Routes()
 	policy, err := place.Policies.New(place.Longest)
-	// While the ledger can't be reached nobody would learn that the item waits.
+	// Without the ledger no other instance would learn that the item waits.
 	if table == nil || err != nil || !r.Without.Enabled(toggle.Moves) || !r.Ledger.Fresh() {
 		return false
 	}
@@ -145,13 +145,13 @@
 	})
 }
 
-// otherLoad returns what runs at an item's engine otherLoad it.
+// otherLoad returns the load of an item's engine without the item itself.
 func otherLoad(b *jobs.State, item jobs.Item) jobs.Load {
 	load := b.Loads[item.Engine]
 	return jobs.Load{Items: max(load.Items-1, 0), Expect: max(load.Expect-item.Expect, 0)}
 }
 
-// eventsPerSecond turns milliseconds an event into events a second.
+// eventsPerSecond converts milliseconds per event; 0 if unknown.
 func eventsPerSecond(pace float64) float64 {
 	if pace <= 0 {
 		return 0
@@ -159,8 +159,8 @@
 	return float64(clock.Second) / pace
 }
 
-// fastestOtherPace returns the shortest expected time of an event at another engine that
-// could go on with the item; 0 if there is none.
+// fastestOtherPace returns the shortest expected time of an event, in milliseconds, at
+// another engine that could continue the item; 0 if there is none.
 func (r *Runner) fastestOtherPace(b *jobs.State, c claimed, slots int) float64 {
 	now := r.Clock.Mono()
 	best := 0.0
--- a/croftmoor/batch/move_test.go
+++ b/croftmoor/batch/move_test.go
@@ -12,13 +12,13 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// outdatedLedger is a ledger that can't be reached.
+// outdatedLedger is a ledger whose state is not current.
 type outdatedLedger struct{ *stateLedger }
 
 func (outdatedLedger) Fresh() bool { return false }
 
-// An item that is given back while the ledger can't be reached waits there until it
-// can: it had been made up to a few events before its end.
+// An item must not move while the ledger is unreachable: no other instance would learn
+// that it waits, and it would rest until the ledger answers.
 func TestNoMovesWhileTheLedgerIsAway(t *testing.T) {
 	r := newTestRunner(4, 4, 1)
 	ledger, _ := r.Ledger.(*stateLedger)
@@ -39,11 +39,11 @@
 	}
 	r.Ledger = outdatedLedger{ledger}
 	if r.shouldMove(c, 9, m) {
-		t.Error("the item moves while nobody can learn of it")
+		t.Error("the item moves while the ledger is unreachable")
 	}
 }
 
-// recordEvents notes events that take so long each.
+// recordEvents records events that take each milliseconds.
 func recordEvents(m *meter, events int, each clock.Millis) *meter {
 	if m.clock == nil {
 		m.clock = clock.NewManual(0)
@@ -58,12 +58,12 @@
 func assertSustainedPace(t *testing.T, m *meter, want float64) {
 	t.Helper()
 	if got := m.sustainedPace(); got != want {
-		t.Errorf("%.0f ms an event are expected to last, want %.0f", got, want)
+		t.Errorf("sustained pace %.0f ms per event, want %.0f", got, want)
 	}
 }
 
-// An engine that shares its machine is slow for 0.6 s now and then, some 7 events of 90 ms in
-// place of 36. Texts left it for that, and their prompts were read again elsewhere.
+// A short slowdown of an engine that shares its machine must not move texts to other
+// engines, where their prompts would be read again.
 func TestSlowSpell(t *testing.T) {
 	t.Run("a spell does not count where engines share machines", func(t *testing.T) {
 		assertSustainedPace(t, recordEvents(recordEvents(&meter{sharesMachine: true}, 9, 36), 7, 90), 36)
@@ -85,12 +85,12 @@
 func (unusedEngines) Ended(context.Context, fleet.Member) bool { return false }
 
 func (n unusedEngines) Run(_ context.Context, engine fleet.Member, _ work.Item, _ int) (Events, error) {
-	n.t.Errorf("sent to %s", engine.Name)
+	n.t.Errorf("an item was sent to %s", engine.Name)
 	return nil, fault.New("noEngines", NotRun, "")
 }
 
-// A claim may be read long after it was written, by an instance that was frozen:
-// its engine may be leaving by then, and must not get new work.
+// An instance that was suspended may read a claim long after it was written. If the engine
+// is leaving by then, it must not get the item.
 func TestNoRunAtAnEngineThatLeaves(t *testing.T) {
 	r := newTestRunner(4, 4, 1)
 	r.Engines = unusedEngines{t}
--- a/croftmoor/batch/patient_test.go
+++ b/croftmoor/batch/patient_test.go
@@ -32,18 +32,18 @@
 			}
 			item := &jobs.Item{ItemSpec: jobs.ItemSpec{Expect: c.expect}}
 			if got := s.deferrable(job, item); got != c.want {
-				t.Errorf("patient: %v, want %v", got, c.want)
+				t.Errorf("deferrable: %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// What an engine's speed is learnt from must not depend on what ran beside.
+// The timing learnt about an engine must not depend on its other load.
 func TestSpeedIsOfAnEmptyEngine(t *testing.T) {
 	beside := jobs.Load{Items: 10, Expect: 20000}
 	m := &meter{events: 101, firstAt: 1000, lastAt: 1000 + clock.Millis(3600*deal.Slowdown(beside))}
 	m.sampleLoad(beside)
 	if got := m.timing("e"); got.Events != 100 || got.Millis < 3598 || got.Millis > 3601 {
-		t.Errorf("speed %+v, want 100 events in 3,600 ms", got)
+		t.Errorf("timing %+v, want 100 events in 3,600 ms", got)
 	}
 }
--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -18,26 +18,25 @@
 )
 
 const (
-	// firstEventTimeout is how long an engine may take to its first event, queuedTerm if the
-	// item may have to wait there for a slot, and gapTerm how long between two events,
-	// before the rest is run elsewhere. Of 1,183 first events of a quiet day one in a
-	// thousand took longer than 0.9 s; an event takes some 50 ms on a full engine and
-	// four times that on a slow one.
+	// firstEventTimeout is how long an engine may take to its first event,
+	// queuedEventTimeout the same if the item may wait there for a slot, and
+	// eventGapTimeout the longest time between two events. After them another engine
+	// runs the rest.
 	firstEventTimeout  = 1200 * clock.Millis(1)
 	queuedEventTimeout = 3 * clock.Second
 	eventGapTimeout    = 600 * clock.Millis(1)
-	// avoidBusyMillis and avoidBroken are how long, in milliseconds, an engine gets no
-	// items after it had no room, or broke an answer off.
+	// avoidBusyMillis and avoidBrokenMillis are how long an engine gets no items after
+	// it was full, or after a run there broke.
 	avoidBusyMillis   = 400
 	avoidBrokenMillis = 1500
-	// finishTimeout and yieldTerm bound the writing of a result or of a beginning;
-	// after them the claim has long been replaced.
-	finishTimeout = 15 * clock.Second
-	yieldTimeout  = 2 * clock.Second
-	rewardRetryPause  = 30 * clock.Millis(1)
+	// finishTimeout bounds the writing of a result, yieldTimeout that of a yield. By
+	// then another instance has claimed the item.
+	finishTimeout    = 15 * clock.Second
+	yieldTimeout     = 2 * clock.Second
+	rewardRetryPause = 30 * clock.Millis(1)
 )
 
-// perform runs a claimed item to its result, or gives it back.
+// perform runs a claimed item to its result, or yields it.
 func (r *Runner) perform(ctx context.Context, c claimed, own *run) {
 	prog := &progress{runner: r, claim: c}
 	item, err := r.load(ctx, prog)
@@ -64,7 +63,8 @@
 	r.complete(ctx, item, prog, meter)
 }
 
-// load reads the item and takes over what was kept of its text.
+// load reads the item, and takes over its saved text into prog if the job accepts the
+// versions that made it.
 func (r *Runner) load(ctx context.Context, prog *progress) (work.Item, error) {
 	c := prog.claim
 	data, err := r.readBody(ctx, &c.item)
@@ -80,7 +80,7 @@
 	return item, err
 }
 
-// priority returns the rank of a job's items: its organisation's, or else its route's.
+// priority returns the priority of a job's items: its organisation's, or else its route's.
 func (r *Runner) priority(accept jobs.Accept) int {
 	table := r.Routes()
 	if table == nil {
@@ -90,7 +90,8 @@
 	return table.Organisations.Priority(accept.Organisation, route.Priority)
 }
 
-// generate has an engine make the rest of the text.
+// generate has the claimed engine make the rest of the text. It returns nil at the
+// regular end of the answer.
 func (r *Runner) generate(ctx context.Context, item work.Item, prog *progress, meter *meter) error {
 	engine, ok := r.engineOf(prog.claim)
 	if !ok || engine.State == fleet.Leaving || r.Fleet.MarkedLeaving(engine.Name) {
@@ -127,7 +128,7 @@
 	}
 }
 
-// silentError returns the error of a run, which is Silent if the engine was waited for in vain.
+// silentError returns err, as kind Silent if a timeout for an event ended the run.
 func silentError(runCtx context.Context, err error) error {
 	if errors.Is(context.Cause(runCtx), context.DeadlineExceeded) {
 		return fault.Wrap("batch.generate", Silent, err, "no event in time")
@@ -149,7 +150,7 @@
 	return firstEventTimeout
 }
 
-// checkEvent tells whether an event may follow what has been made.
+// checkEvent returns an error if an event may not follow the events in prog.
 func checkEvent(prog *progress, event Event) error {
 	accept := prog.claim.accept
 	if event.Index != prog.events+1 {
@@ -173,8 +174,9 @@
 	return fleet.Member{}, false
 }
 
-// handleFailure ends a run that did not come to the end of its text: it is given up if
-// that is for good, else given back, and the others are told of the engine.
+// handleFailure ends a run that did not reach the end of its text. It terminates the item
+// if no retry is left, and otherwise yields it. After a busy or broken engine it also
+// records that all instances avoid the engine for a while.
 func (r *Runner) handleFailure(ctx context.Context, prog *progress, meter *meter, err error) {
 	c := prog.claim
 	kind := fault.KindOf[EngineKind](err)
@@ -199,18 +201,17 @@
 		avoid = avoidBrokenMillis
 	}
 	if avoid > 0 {
-		// The engine is told of together with the item: an append and its way back more
-		// would keep the item from its next engine for some 50 ms, and for 2 s while the
-		// log is away.
+		// The record goes into the same append as the yield: a second append, and the
+		// wait until it is read back, would delay the item's next run.
 		r.yieldItem(ctx, prog, yield, reason, jobs.Avoid{By: r.Self, Engine: c.item.Engine, Millis: avoid})
 		return
 	}
 	r.yieldItem(ctx, prog, yield, reason)
 }
 
-// appendAndAwait appends records and waits until they have been read back, so that this
-// instance does not act on the state before them: it would begin an item anew that
-// it has just given back.
+// appendAndAwait appends records and waits until they are read back. Without the wait
+// this instance would act on the older state and begin an item again that it has just
+// yielded.
 func (r *Runner) appendAndAwait(ctx context.Context, c claimed, records ...jobs.Record) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTimeout.Duration())
 	defer cancel()
@@ -227,8 +228,8 @@
 	r.Trail.Add(trail.Decision{ID: string(c.item.ID), Action: action, Choice: choice, Reason: reason})
 }
 
-// yieldItem yields an item, keeping what was made of it; before it come the given
-// records.
+// yieldItem saves the progress of an item and yields it, with the records in before
+// ahead of the yield in the same append.
 func (r *Runner) yieldItem(ctx context.Context, prog *progress, yield jobs.Yield, reason string, before ...jobs.Record) {
 	c := prog.claim
 	r.logDecision(c, trail.Cancel, string(c.item.Engine), fmt.Sprintf("%s; %d events made", reason, prog.events))
@@ -242,8 +243,8 @@
 	r.appendAndAwait(ctx, c, append(before, yield)...)
 }
 
-// complete scores a whole text, keeps it, and lists the result. It goes on when
-// the claim is replaced meanwhile: the first result counts.
+// complete scores and saves a complete text at the same time, then lists the result. It
+// continues if the claim is replaced meanwhile, since the first result counts.
 func (r *Runner) complete(ctx context.Context, item work.Item, prog *progress, meter *meter) {
 	c := prog.claim
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout.Duration())
@@ -275,8 +276,8 @@
 		timing.Events, meter.lastAt-meter.firstAt, prog.events, meter.timeToFirstEvent(), r.Clock.Mono()-began))
 }
 
-// score asks for the reward until it comes, fails for good, is no longer wanted,
-// or ctx ends.
+// score calls the reward service until it answers, the call's failures reach
+// Rewards.Attempts, the call is held back, the result is no longer wanted, or ctx ends.
 func (r *Runner) score(ctx context.Context, c claimed, item work.Item) (string, error) {
 	if item.Reward == nil {
 		return "", nil
@@ -307,7 +308,7 @@
 	}
 }
 
-// wanted tells whether an item may still be listed, as far as is known here.
+// wanted reports whether an item can still be listed, by the state read last.
 func (r *Runner) wanted(key jobs.ItemKey) bool {
 	wanted := false
 	r.Ledger.View(func(b *jobs.State) {
@@ -317,7 +318,7 @@
 	return wanted
 }
 
-// finish lists a result.
+// finish appends the result of an item and waits until it is read back.
 func (r *Runner) finish(ctx context.Context, c claimed, f jobs.Finish, reason string) {
 	f.Job, f.By, f.Index = c.key.Job, r.Self, c.key.Index
 	ctx, cancel := context.WithTimeout(ctx, finishTimeout.Duration())
--- a/croftmoor/batch/progress.go
+++ b/croftmoor/batch/progress.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// savePeriod is the pause between two times that the progress of a run is
-	// kept, and keepEvents the least progress that is worth it: what is lost with
-	// an instance or an engine is at most about so much.
-	savePeriod = 800 * clock.Millis(1)
+	// savePeriod is the least time between two saves of a run's progress in the
+	// background, and minSaveEvents the least number of events that are worth one. An
+	// instance or engine that fails loses about that much.
+	savePeriod    = 800 * clock.Millis(1)
 	minSaveEvents = 8
 )
 
-// progress is what has been made of a text. The run that makes it and the
-// keeping of it in the background share what mu guards.
+// progress is the text that a run has made so far. The run and the background save share
+// the fields below mu, which guards them.
 type progress struct {
 	runner *Runner
 	claim  claimed
 
 	events   int
 	versions []ident.Version
-	complete    bool
+	complete bool
 
 	mu sync.Mutex
-	// unsaved is the data of the events that are not kept yet.
-	unsaved   []string
+	// unsaved is the data of the events that are not saved yet.
+	unsaved  []string
 	saved    jobs.Partial
-	saving bool
-	lastSave    clock.Millis
-	group   conc.WaitGroup
+	saving   bool
+	lastSave clock.Millis
+	group    conc.WaitGroup
 }
 
 func (p *progress) add(e Event) {
@@ -52,16 +52,16 @@
 	}
 }
 
-// takeUnsaved returns what is to be kept next and what the kept text will then be; mu
-// is held.
+// takeUnsaved empties unsaved and returns its text, and what the saved text will be with
+// it. The caller holds mu.
 func (p *progress) takeUnsaved() (text []byte, next jobs.Partial) {
 	text = []byte(strings.Join(p.unsaved, "\n"))
 	p.unsaved = nil
 	return text, jobs.Partial{Events: p.events, Versions: slices.Clone(p.versions), Complete: p.complete}
 }
 
-// saveIfDue keeps the progress in the background now and then, so that another
-// instance can go on from there.
+// saveIfDue saves the progress in the background if savePeriod and minSaveEvents allow,
+// for another instance to continue from.
 func (p *progress) saveIfDue(ctx context.Context) {
 	now := p.runner.Clock.Mono()
 	p.mu.Lock()
@@ -85,8 +85,8 @@
 	})
 }
 
-// savePart writes a part of the text and notes where it lies. A part that could
-// not be written is put back, so that it goes with the next one.
+// savePart stores a part of the text and adds its span to saved. If that fails it puts
+// the part back into unsaved.
 func (p *progress) savePart(ctx context.Context, text []byte, next jobs.Partial) error {
 	span, err := p.runner.Blobs.PutText(ctx, p.claim.key.Job, text)
 	p.mu.Lock()
@@ -106,7 +106,7 @@
 	return p.saved
 }
 
-// saveAll keeps what is not kept yet and returns the whole of it.
+// saveAll waits for the background save, saves the rest, and returns all that is saved.
 func (p *progress) saveAll(ctx context.Context) (jobs.Partial, error) {
 	p.group.Wait()
 	p.mu.Lock()
--- a/croftmoor/batch/race_test.go
+++ b/croftmoor/batch/race_test.go
@@ -10,22 +10,22 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// roundPeriod is the time between two looks of an instance at the ledger.
+// roundPeriod is the simulated time between two reads of the ledger by an instance.
 const roundPeriod = 20 * clock.Millis(1)
 
-// simulation is instances that read one ledger, each as far as it has come. Their time
-// moves by readGap a round, whatever the machine that runs the test does.
+// simulation has instances that read one ledger, each up to its own offset. Its manual
+// clock advances by roundPeriod a round, which makes it independent of the machine.
 type simulation struct {
 	t       *testing.T
 	clock   *clock.Clock
 	random  *rand.Rand
 	log     []jobs.Record
 	runners []*Runner
-	states   []*jobs.State
+	states  []*jobs.State
 	read    []int
-	// silent are instances that neither read nor write any more.
+	// silent are the instances that no longer read or write.
 	silent map[int]bool
-	// claims counts how often each item was claimed.
+	// claims is the number of claims for each item.
 	claims map[jobs.ItemKey]int
 	engine map[jobs.ItemKey]ident.BackendName
 }
@@ -54,7 +54,7 @@
 	s.log = append(s.log, records...)
 }
 
-// catchUp has an instance read so many records.
+// catchUp has instance n read at most limit records.
 func (s *simulation) catchUp(n, limit int) {
 	for ; s.read[n] < len(s.log) && limit > 0; limit-- {
 		s.states[n].Apply(ident.Offset(10_000+s.read[n]), s.log[s.read[n]], s.runners[n].Clock.Mono())
@@ -62,8 +62,8 @@
 	}
 }
 
-// planAll has all instances read the ledger to its end and plan, and drops the plans:
-// they know from then on who deals.
+// planAll has all instances read the whole ledger and drops the claims that they plan.
+// Afterwards each instance knows the dealer.
 func (s *simulation) planAll() {
 	for n, r := range s.runners {
 		s.catchUp(n, len(s.log))
@@ -71,7 +71,7 @@
 	}
 }
 
-// claimNext has an instance claim what it should, unless it waits for its last claims.
+// claimNext has instance n write the claims that it plans.
 func (s *simulation) claimNext(n int) {
 	r := s.runners[n]
 	for key := range r.pending {
@@ -90,7 +90,7 @@
 	}
 }
 
-// runRounds lets instances read and act in random order, each some records behind.
+// runRounds has instances read and claim in random order, each some records behind.
 func (s *simulation) runRounds(rounds int) {
 	for range rounds {
 		s.clock.Advance(roundPeriod)
@@ -111,8 +111,8 @@
 	s.appendRecords(a)
 }
 
-// finishSome lists a share of what is claimed, as engines would, and tells how many
-// items are left.
+// finishSome lists results for a random half of the claimed items and returns the number
+// of items that had no result before.
 func (s *simulation) finishSome() int {
 	left := 0
 	book := s.states[0]
@@ -133,7 +133,8 @@
 	return left
 }
 
-// assertClaims checks how many claims were written for each item.
+// assertClaims checks that the given number of items were claimed, on average at most maxMean
+// times each.
 func (s *simulation) assertClaims(items int, maxMean float64) {
 	s.t.Helper()
 	total := 0
@@ -148,7 +149,7 @@
 	}
 }
 
-// runToEnd plays until nothing is left.
+// runToEnd runs rounds until all items have results.
 func (s *simulation) runToEnd() {
 	s.t.Helper()
 	for range 300 {
@@ -158,12 +159,10 @@
 			return
 		}
 	}
-	s.t.Error("items are left")
+	s.t.Error("items without results are left")
 }
 
-// Instances that have read the ledger to different ends must not claim the same
-// items: at 84 instances items were claimed 7.4 times each, and ran at the engine of
-// whoever came first.
+// Instances that have read the ledger to different offsets must not claim the same items.
 func TestItemsAreClaimedOnce(t *testing.T) {
 	for _, size := range []struct{ instances, engines, jobs, items int }{{13, 11, 2, 224}, {48, 102, 6, 190}, {84, 44, 6, 128}} {
 		t.Run(fmt.Sprintf("%d instances %d engines", size.instances, size.engines), func(t *testing.T) {
@@ -184,7 +183,7 @@
 				return n
 			}
 		}
-		t.Fatal("nobody deals")
+		t.Fatal("no instance deals")
 		return 0
 	}
 	t.Run("instances place items at their own engines meanwhile", func(t *testing.T) {
@@ -197,7 +196,7 @@
 		clear(s.claims)
 		s.runRounds(3)
 		if len(s.claims) > 0 {
-			t.Errorf("%d items claimed before the dealer had its time", len(s.claims))
+			t.Errorf("%d items claimed before idleBeforeOwnShare passed", len(s.claims))
 		}
 		s.clock.Advance(idleBeforeOwnShare)
 		s.runRounds(6)
--- a/croftmoor/batch/runner.go
+++ b/croftmoor/batch/runner.go
@@ -17,30 +17,32 @@
 )
 
 const (
-	// pollPeriod bounds how long a change that no record tells of goes unnoticed.
+	// pollPeriod is the longest time between two looks at the state: some changes, like
+	// an engine's leaving, come without a record.
 	pollPeriod = 100 * clock.Millis(1)
-	// overbook is how many items an engine may hold beyond its slots, so that a
-	// slot that gets free has its next item at once.
+	// overbook is how many items an engine may hold beyond its slots, which gives a slot
+	// that becomes free its next item at once.
 	overbook = 1
-	// claimTimeout bounds the wait for a claim's word from the log.
+	// claimTimeout bounds the append of a claim and the wait until it is read back.
 	claimTimeout = 3 * clock.Second
-	// loadTimeout is how long an ordered load of weights keeps items away if no
-	// word of its end comes.
+	// loadTimeout is how long an ordered load of weights keeps items away if its end is
+	// not reported.
 	loadTimeout = 2500 * clock.Millis(1)
 )
 
-// run is an item that this instance runs. Claim is 0 while it does so without
-// one, because the ledger can't be reached.
+// run is an item that this instance runs. Its claim is 0 if it was begun without one while
+// the ledger was unreachable.
 type run struct {
 	claim  ident.Offset
 	engine ident.BackendName
 	cancel context.CancelFunc
-	// generated tells that the engine has done its part.
+	// generated is set once the text is complete and only scoring and saving are left.
 	generated atomic.Bool
 }
 
-// Runner claims items for the engines that this instance acts for, and runs
-// them. Set the exported fields before Run. Its state is guarded by mu.
+// Runner claims items for engines and runs those of the engines that this instance acts
+// for. Set the exported fields, then call Setup and Run. mu guards the unexported fields
+// down to givenBack.
 type Runner struct {
 	Self    ident.InstanceName
 	Ledger  Ledger
@@ -54,30 +56,30 @@
 	// Counts and Guard may be nil.
 	Counts Counts
 	Guard  Guard
-	// Without are the mechanisms that are switched off.
+	// Without is the set of mechanisms that are switched off.
 	Without toggle.Set
 
 	mu      sync.Mutex
 	runs    map[jobs.ItemKey]*run
 	pending map[jobs.ItemKey]bool
-	// idleSince is since when engines that this instance acts for have had room for an
-	// item that waits, without getting one.
+	// idleSince is the time since which an own engine has had room for a waiting item
+	// without getting one.
 	idleSince map[ident.BackendName]clock.Millis
-	// lastIdleCheck is when these were last lastIdleCheck for.
+	// lastIdleCheck is the time of the last check for such engines.
 	lastIdleCheck clock.Millis
-	// prefetched are the open jobs whose bodies have been asked for.
+	// prefetched are the open jobs whose prefetch is scheduled or done.
 	prefetched map[ident.Job]bool
-	actors  actors
-	starts  engineStarts
-	// leaving tells that nothing more is claimed, given that what is claimed is
-	// given back.
-	leaving bool
-	givenBack   bool
-	group   conc.WaitGroup
-	wakeups    chan struct{}
+	actors     actors
+	starts     engineStarts
+	// leaving is set once nothing more is claimed, givenBack once all runs are stopped
+	// and yielded as well.
+	leaving   bool
+	givenBack bool
+	group     conc.WaitGroup
+	wakeups   chan struct{}
 }
 
-// Setup makes the runner usable; it is called before Run.
+// Setup initialises the runner; it is called before Run.
 func (r *Runner) Setup() {
 	r.runs = map[jobs.ItemKey]*run{}
 	r.pending = map[jobs.ItemKey]bool{}
@@ -87,8 +89,7 @@
 	r.wakeups = make(chan struct{}, 1)
 }
 
-// Run claims and runs items until ctx ends; it returns when all runs have
-// ended.
+// Run claims and runs items until ctx ends. It returns when all runs have ended.
 func (r *Runner) Run(ctx context.Context) {
 	defer r.group.Wait()
 	for ctx.Err() == nil {
@@ -104,14 +105,15 @@
 	}
 }
 
-// Leave has this instance claim nothing more; what it runs goes on.
+// Leave stops claiming items; runs continue.
 func (r *Runner) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// GiveBack ends what this instance still runs; others go on with it.
+// GiveBack stops claiming items and cancels all runs, which yield their items to other
+// instances.
 func (r *Runner) GiveBack() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,8 +137,8 @@
 	accept jobs.Accept
 }
 
-// syncRuns starts the items that the ledger gives to this instance, and stops
-// those that it no longer does.
+// syncRuns starts the items that this instance has claimed, and cancels the runs whose
+// claim is gone or whose engine has restarted.
 func (r *Runner) syncRuns(ctx context.Context) {
 	mine := map[jobs.ItemKey]claimed{}
 	open := map[ident.Job]bool{}
@@ -168,15 +170,15 @@
 	}
 }
 
-// engineStarts are the engineStarts of engines that a view of the fleet lists, by the names that
-// engines keep. It is worked out once a view and not each time that the ledger is
-// read, since a list may have thousands of engines; what that saves was not measured.
+// engineStarts maps an engine's ListName, which a restart keeps, to the name of the start
+// that a view of the fleet lists. It is computed once per view, which may have thousands
+// of engines.
 type engineStarts struct {
 	view   *fleet.View
 	listed map[string]ident.BackendName
 }
 
-// listedStarts returns the starts that are listed now; mu is held.
+// listedStarts returns the starts in the current view. The caller holds mu.
 func (r *Runner) listedStarts() engineStarts {
 	view := r.Fleet.View()
 	if r.starts.view == view {
@@ -192,15 +194,15 @@
 	return r.starts
 }
 
-// restarted tells whether another start of an engine is listed: what ran at this one is lost,
-// and its silence is not waited for.
+// restarted reports whether another start of the engine is listed. What ran at the
+// earlier start is lost, and waiting for its timeout would be useless.
 func (s engineStarts) restarted(engine ident.BackendName) bool {
 	name, listed := s.listed[engine.ListName()]
 	return listed && name != engine
 }
 
-// collect adds the items that this instance has claimed, and those that it runs
-// without a claim while nobody has claimed them; mu is held.
+// collect adds to mine the items that this instance has claimed, and those that it runs
+// without a claim and nobody has claimed. The caller holds mu.
 func (r *Runner) collect(b *jobs.State, mine map[jobs.ItemKey]claimed) {
 	add := func(key jobs.ItemKey, job *jobs.Job) {
 		mine[key] = claimed{key: key, item: job.Items[key.Index], accept: job.Accept}
@@ -221,7 +223,7 @@
 	}
 }
 
-// begin starts a run; mu is held.
+// begin starts a run. The caller holds mu.
 func (r *Runner) begin(ctx context.Context, c claimed) {
 	ctx, cancel := context.WithCancel(ctx)
 	own := &run{claim: c.item.Claim, engine: c.item.Engine, cancel: cancel}
@@ -243,7 +245,8 @@
 	}
 }
 
-// claimItems makes the deal and claims this instance's part of it.
+// claimItems claims items in the background. While the ledger is unreachable it begins
+// items without claims instead.
 func (r *Runner) claimItems(ctx context.Context) {
 	r.mu.Lock()
 	leaving := r.leaving
@@ -284,8 +287,8 @@
 	}
 }
 
-// appendClaims writes claims and waits until they have been read back, so that the
-// items are not claimed once more meanwhile.
+// appendClaims appends claims and waits until they are read back. Until then their items
+// are pending and not claimed again.
 func (r *Runner) appendClaims(ctx context.Context, claims []jobs.Claim, keys []jobs.ItemKey) {
 	defer r.wake()
 	defer r.setPending(keys, false)
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -13,37 +13,38 @@
 	"croftmoor.dev/kernel/toggle"
 )
 
-// snapshot is what a deal is made from, taken from one state of the ledger. It is
-// valid only while that state is viewed.
+// snapshot is the input of an assignment, taken from one state of the ledger. It is valid
+// only within the View call that took it.
 type snapshot struct {
-	state    *jobs.State
-	items  []deal.RankedItem
-	itemsAdded   bool
-	engines []deal.Engine
-	// medianPace is the usual time of an event at these engines.
+	state      *jobs.State
+	items      []deal.RankedItem
+	itemsAdded bool
+	engines    []deal.Engine
+	// medianPace is the median time of an event at these engines, in milliseconds.
 	medianPace float64
-	// actor is the instance that acts for a server, of any service.
+	// actor is the instance that acts for an engine, of any service.
 	actor map[ident.BackendName]ident.InstanceName
-	// versions are the weights that an engine can be relied on to have; a model
-	// that is being loaded is missing.
+	// versions are the versions that engines have loaded. A model is missing while the
+	// engine loads another version of it.
 	versions map[jobs.EngineModel]ident.Version
 	services map[ident.BackendName]ident.Service
 	accepts  map[ident.Job]jobs.Accept
-	// deadlines is the time after its acceptance by which a job should be done; 0 is none.
+	// deadlines are the times, counted from a job's acceptance, within which it should
+	// be done; 0 is none.
 	deadlines map[ident.Job]clock.Millis
-	now clock.Millis
+	now       clock.Millis
 	// toggles are the mechanisms that are switched off.
 	toggles toggle.Set
 	// silent are the owners of claims that count as gone.
 	silent map[ident.InstanceName]bool
 }
 
-// item returns the item of a piece.
+// item returns the job item behind a ranked item.
 func (s *snapshot) item(p deal.RankedItem) *jobs.Item {
 	return &s.state.Jobs[p.Job].Items[p.Target.Index]
 }
 
-// allowed tells whether an engine can run a job's items now.
+// allowed reports whether an engine can run a job's items now.
 func (s *snapshot) allowed(engine ident.BackendName, job ident.Job) bool {
 	accept := s.accepts[job]
 	if s.services[engine] != accept.Service {
@@ -56,9 +57,9 @@
 	return ready && version >= accept.MinVersion
 }
 
-// snapshot looks at the jobs that have items to share out and the engines that may
-// get them; instances that were not heard since the given time count as gone. It
-// returns nil if nothing waits; mu is held.
+// snapshot returns the jobs that have waiting items and the engines that may get them, or
+// nil if no item waits; addItems adds the items. Instances whose last heartbeat is before
+// since count as gone. The caller holds mu.
 func (r *Runner) snapshot(b *jobs.State, table *paths.Table, since clock.Millis) *snapshot {
 	s := &snapshot{
 		state: b, versions: map[jobs.EngineModel]ident.Version{}, services: map[ident.BackendName]ident.Service{},
@@ -82,7 +83,7 @@
 	return s
 }
 
-// silentOwners returns the owners of claims that count as gone.
+// silentOwners returns the owners of claims that were last heard before since.
 func silentOwners(b *jobs.State, since clock.Millis) map[ident.InstanceName]bool {
 	silent := map[ident.InstanceName]bool{}
 	for owner := range b.Claims {
@@ -93,7 +94,8 @@
 	return silent
 }
 
-// jobsWithWaitingItems returns the open jobs that have items which nobody runs, in order.
+// jobsWithWaitingItems returns, in order, the open jobs with items that are unclaimed or
+// whose owner is silent.
 func (s *snapshot) jobsWithWaitingItems() []*jobs.Job {
 	abandoned := map[ident.Job]bool{}
 	for owner := range s.silent {
@@ -110,8 +112,8 @@
 	return open
 }
 
-// addItems adds the items that wait, in the order in which they should start,
-// unless that has been done.
+// addItems adds the waiting items in the order in which they should start. Further calls
+// do nothing.
 func (s *snapshot) addItems() {
 	if s.itemsAdded {
 		return
@@ -134,7 +136,7 @@
 	}
 }
 
-// excludedEngines returns the engines that an item should excludedEngines go to.
+// excludedEngines returns the engines that an item should not go to.
 func (s *snapshot) excludedEngines(item *jobs.Item) []ident.BackendName {
 	if !s.toggles.Enabled(toggle.Avoidance) {
 		return nil
@@ -143,16 +145,16 @@
 }
 
 const (
-	// maxOverrunFactor is how many times longer than expected a text may get. One in ten
-	// got 1.76 times as long in a trial of 464 texts; the rest is a margin.
+	// maxOverrunFactor bounds how many times longer than expected a text is assumed to
+	// get.
 	maxOverrunFactor = 2.2
-	// deferMargin is how long before it must an item starts: with 0.5 s the items that
-	// had time ended the steps themselves; see docs/POLICY.md.
+	// deferMargin is added to an item's assumed time: an item with too small a margin
+	// becomes the last one of its step. See docs/POLICY.md.
 	deferMargin = 2500 * clock.Millis(1)
 )
 
-// deferrable tells whether an item of a job ends before the job is due also if it
-// starts later, and if it takes longer than expected.
+// deferrable reports whether an item can start later and still end before its job's
+// deadline, even if it takes longer than expected.
 func (s *snapshot) deferrable(job *jobs.Job, item *jobs.Item) bool {
 	due := s.deadlines[job.Job]
 	if due == 0 || job.FromBacklog || !s.toggles.Enabled(toggle.Patience) {
@@ -163,15 +165,15 @@
 	return s.now+term+deferMargin < job.SeenAt+due
 }
 
-// hasRoom tells whether an engine of those that are meant can take an item, over its
-// slots by so many at most. If none can, there is nothing to deal.
+// hasRoom reports whether an engine that match accepts holds fewer items than its slots
+// plus over.
 func (s *snapshot) hasRoom(match func(deal.Engine) bool, over int) bool {
 	return slices.ContainsFunc(s.engines, func(e deal.Engine) bool {
 		return e.Load.Items < e.Slots+over && match(e)
 	})
 }
 
-// enginesWhere returns the engines that are meant.
+// enginesWhere returns the engines that match accepts.
 func (s *snapshot) enginesWhere(match func(deal.Engine) bool) []deal.Engine {
 	var engines []deal.Engine
 	for _, e := range s.engines {
@@ -211,8 +213,8 @@
 	slices.SortFunc(s.engines, func(a, b deal.Engine) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Version returns the version of a model that an engine has, and whether it is
-// not just loading another one.
+// Version returns the version of a model that an engine has, and whether the engine is
+// ready: it is not while it loads a later version.
 func Version(b *jobs.State, m fleet.Member, model ident.Model, now clock.Millis) (ident.Version, bool) {
 	key := jobs.EngineModel{Engine: ident.BackendName(m.Name), Model: model}
 	version := b.LoadedVersion(key, m.Versions[model])
--- a/croftmoor/batch/survey_bench_test.go
+++ b/croftmoor/batch/survey_bench_test.go
@@ -13,14 +13,14 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// stateLedger is a ledger that is read to its end and takes nothing.
+// stateLedger is a ledger that is always current and ignores appends.
 type stateLedger struct {
-	state  *jobs.State
+	state *jobs.State
 	clock *clock.Clock
 }
 
 func (l *stateLedger) View(visit func(*jobs.State)) { visit(l.state) }
-func (l *stateLedger) Changed() <-chan struct{}    { return nil }
+func (l *stateLedger) Changed() <-chan struct{}     { return nil }
 func (l *stateLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
 	return l.state.Next, nil
 }
@@ -37,8 +37,8 @@
 
 func (noDecisions) Add(trail.Decision) {}
 
-// newTestRunner returns a runner that knows so many instances, engines and open jobs of
-// 160 items, three of four of which are claimed.
+// newTestRunner returns a runner whose state has the given numbers of instances, engines
+// and open jobs. Each job has 160 items, three quarters of them claimed.
 func newTestRunner(instances, engines, open int) *Runner {
 	const zones, items = 4, 160
 	zone := func(i int) ident.Zone { return ident.Zone(fmt.Sprintf("z-%d", i%zones)) }
@@ -80,7 +80,7 @@
 	return r
 }
 
-// BenchmarkPlan is what each instance does after each batch of records.
+// BenchmarkPlan measures the planning that each instance does after a batch of records.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ instances, engines, jobs int }{{13, 11, 2}, {84, 44, 8}, {400, 400, 40}} {
 		b.Run(fmt.Sprintf("%d instances %d engines %d jobs", size.instances, size.engines, size.jobs), func(b *testing.B) {
