--- a/croftmoor/batch/away_test.go
+++ b/croftmoor/batch/away_test.go
@@ -27,7 +27,7 @@
 
 // blockingEngines record where each item is begun, and run it until it is cancelled.
 type blockingEngines struct {
-	mu sync.Mutex
+	mu      sync.Mutex
 	begunAt map[ident.Item][]ident.BackendName
 }
 
--- a/croftmoor/batch/batch.go
+++ b/croftmoor/batch/batch.go
@@ -30,9 +30,9 @@
 	Next() (Event, bool, error)
 	// Version returns the model version given at the head of the answer.
 	Version() ident.Version
-	// Shares reports whether the engine shares its machine with others and is therefore
+	// SharesMachine reports whether the engine shares its machine with others and is therefore
 	// slow at times.
-	Shares() bool
+	SharesMachine() bool
 	Close()
 }
 
--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -50,13 +50,13 @@
 	}
 	meter := &meter{clock: r.Clock, startedAt: r.Clock.Mono()}
 	r.Ledger.View(func(b *jobs.State) { meter.sampleLoad(otherLoad(b, c.item)) })
-	if !prog.complete {
+	if !prog.textComplete {
 		if err := r.generate(ctx, item, prog, meter); err != nil {
 			r.reportEngineEnd(ctx, item, prog, err)
 			r.handleFailure(ctx, prog, meter, err)
 			return
 		}
-		prog.complete = true
+		prog.textComplete = true
 		r.reportAnswered(item)
 	}
 	own.generated.Store(true)
@@ -73,7 +73,7 @@
 	}
 	if partial := c.item.Partial; partial.Fits(c.accept.MinVersion, c.accept.SingleVersion) {
 		prog.saved = partial
-		prog.events, prog.versions, prog.complete = partial.Events, slices.Clone(partial.Versions), partial.Complete
+		prog.events, prog.versions, prog.textComplete = partial.Events, slices.Clone(partial.Versions), partial.Complete
 	}
 	item, err := work.Decode(data)
 	item.Organisation, item.Priority = c.accept.Organisation, r.priority(c.accept)
@@ -106,7 +106,7 @@
 		return silentError(runCtx, err)
 	}
 	defer events.Close()
-	meter.sharesMachine = events.Shares()
+	meter.sharesMachine = events.SharesMachine()
 	for {
 		event, more, err := events.Next()
 		if err != nil {
--- a/croftmoor/batch/progress.go
+++ b/croftmoor/batch/progress.go
@@ -29,9 +29,9 @@
 	runner *Runner
 	claim  claimed
 
-	events   int
-	versions []ident.Version
-	complete bool
+	events       int
+	versions     []ident.Version
+	textComplete bool
 
 	mu sync.Mutex
 	// unsaved is the data of the events that are not saved yet.
@@ -57,7 +57,7 @@
 func (p *progress) takeUnsaved() (text []byte, next jobs.Partial) {
 	text = []byte(strings.Join(p.unsaved, "\n"))
 	p.unsaved = nil
-	return text, jobs.Partial{Events: p.events, Versions: slices.Clone(p.versions), Complete: p.complete}
+	return text, jobs.Partial{Events: p.events, Versions: slices.Clone(p.versions), Complete: p.textComplete}
 }
 
 // saveIfDue saves the progress in the background if savePeriod and minSaveEvents allow,
@@ -118,6 +118,6 @@
 		err = p.savePart(ctx, text, next)
 	}
 	saved := p.savedPartial()
-	saved.Complete = p.complete && err == nil
+	saved.Complete = p.textComplete && err == nil
 	return saved, err
 }
