--- a/croftmoor/batch/actors.go
+++ b/croftmoor/batch/actors.go
@@ -10,54 +10,56 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// silentTerm is how long the engines of an availability zone are left alone in
-// which no instance is heard any more: most likely the zone is cut off, and an
-// item sent there only fails after a while.
-const silentTerm = 10 * clock.Second
+// silentZonePause is how long the engines of an availability zone get no items after
+// all of its instances have stopped sending heartbeats: the zone is probably cut off,
+// and its engines would fail each item only after a timeout.
+const silentZonePause = 10 * clock.Second
 
-// actors says which instance acts for each engine. It is worked out anew only
-// when instances or engines have come or gone, since it costs a hash for each
-// pair of them.
+// actors maps each engine to its actor, the instance that runs its items. The map costs
+// one hash for each pair of engine and instance, so it is computed again only when the
+// instances, the silent zones or the view of the fleet change.
 type actors struct {
-	view   *fleet.View
-	live   map[ident.InstanceName]ident.Zone
-	silent map[ident.Zone]bool
-	acting map[ident.BackendName]ident.InstanceName
-	// dealers are the instances that deal, as far as they have been worked out.
+	view     *fleet.View
+	live     map[ident.InstanceName]ident.Zone
+	silent   map[ident.Zone]bool
+	byEngine map[ident.BackendName]ident.InstanceName
+	// dealers caches the dealer of each service; see Runner.dealer.
 	dealers map[ident.Service]ident.InstanceName
 }
 
-// at returns the instance that acts for each server of the view; instances that
-// were not heard since the given time count as gone.
-func (a *actors) at(b *jobs.State, view *fleet.View, now, since clock.Millis) map[ident.BackendName]ident.InstanceName {
+// refresh returns the actor of each engine in view, without the engines of silent zones.
+// Instances whose last heartbeat is before since count as gone.
+func (a *actors) refresh(b *jobs.State, view *fleet.View, now, since clock.Millis) map[ident.BackendName]ident.InstanceName {
 	live := map[ident.InstanceName]ident.Zone{}
 	for _, m := range b.Live(since) {
 		live[m.Name] = m.Zone
 	}
-	silent := silentZones(b, live, now-silentTerm, since)
+	silent := silentZones(b, live, now-silentZonePause, since)
 	if a.view == view && maps.Equal(a.live, live) && maps.Equal(a.silent, silent) {
-		return a.acting
+		return a.byEngine
 	}
 	a.view, a.live, a.silent, a.dealers = view, live, silent, nil
-	a.acting = map[ident.BackendName]ident.InstanceName{}
+	a.byEngine = map[ident.BackendName]ident.InstanceName{}
 	var all []views.Member
-	near := map[ident.Zone][]views.Member{}
+	sameZone := map[ident.Zone][]views.Member{}
 	for name, zone := range live {
 		member := views.Member{Name: name, Zone: zone}
 		all = append(all, member)
-		near[zone] = append(near[zone], member)
+		sameZone[zone] = append(sameZone[zone], member)
 	}
 	for _, engines := range view.Backends {
 		for _, engine := range engines {
-			if actor := actorFor(engine, near[engine.Zone], all); !silent[engine.Zone] {
-				a.acting[ident.BackendName(engine.Name)] = actor
+			if actor := actorFor(engine, sameZone[engine.Zone], all); !silent[engine.Zone] {
+				a.byEngine[ident.BackendName(engine.Name)] = actor
 			}
 		}
 	}
-	return a.acting
+	return a.byEngine
 }
 
-// silentZones returns the zones that have fallen silent as a whole lately.
+// silentZones returns the zones without a live instance in which at least one instance
+// was last heard between from and since. It does not count instances that left or were
+// superseded.
 func silentZones(b *jobs.State, live map[ident.InstanceName]ident.Zone, from, since clock.Millis) map[ident.Zone]bool {
 	zones := map[ident.Zone]bool{}
 	for _, m := range b.Members {
@@ -71,13 +73,13 @@
 	return zones
 }
 
-// actorFor returns the instance that acts for an engine: by rendezvous hashing
-// among those of its availability zone, so that texts stay there, or among all
-// if it has none.
-func actorFor(engine fleet.Member, near, all []views.Member) ident.InstanceName {
-	if len(near) == 0 {
-		near = all
+// actorFor returns the actor of an engine. It is chosen by rendezvous hashing among the
+// instances of the engine's availability zone, which keeps texts within the zone, or
+// among all instances if the zone has none.
+func actorFor(engine fleet.Member, sameZone, all []views.Member) ident.InstanceName {
+	if len(sameZone) == 0 {
+		sameZone = all
 	}
-	actor, _ := views.First(engine.Name, near)
+	actor, _ := views.First(engine.Name, sameZone)
 	return actor.Name
 }
--- a/croftmoor/batch/ahead_test.go
+++ b/croftmoor/batch/ahead_test.go
@@ -31,16 +31,15 @@
 	return nil, nil
 }
 
-// A body is read ahead by just two instances, however many there are: read by each,
-// the bodies of one wave of steps exceed what the log serves to all of them; read by
-// one, it is lost with that one.
+// A body must be prefetched by just bodyReplicas instances: prefetched by all, the bodies
+// exceed what the log can serve; prefetched by one, a body is lost with that instance.
 func TestBodiesAreReadAheadTwice(t *testing.T) {
 	for _, instances := range []int{4, 13, 84} {
 		t.Run(fmt.Sprintf("%d instances", instances), func(t *testing.T) {
 			blobs := &countingBlobs{reads: map[jobs.Span]int{}}
 			waiting := 0
 			for n := range instances {
-				r := crowd(instances, 44, 1)
+				r := newTestRunner(instances, 44, 1)
 				r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 				r.Blobs = blobs
 				r.Ledger.View(func(b *jobs.State) {
@@ -50,15 +49,15 @@
 						job.Items[i].Body = jobs.Span{Stream: "bodies.0", First: ident.Offset(i + 1), Count: 1}
 					}
 				})
-				r.plan()
-				r.fetch(t.Context(), "job-0")
+				r.planClaims()
+				r.prefetchJob(t.Context(), "job-0")
 			}
 			if len(blobs.reads) != waiting {
-				t.Errorf("%d bodies read ahead of %d items that wait", len(blobs.reads), waiting)
+				t.Errorf("%d bodies prefetched for %d waiting items", len(blobs.reads), waiting)
 			}
 			for span, reads := range blobs.reads {
-				if reads != replicas {
-					t.Fatalf("body %d was read %d times, want %d", span.First, reads, replicas)
+				if reads != bodyReplicas {
+					t.Fatalf("body %d was read %d times, want %d", span.First, reads, bodyReplicas)
 				}
 			}
 		})
--- a/croftmoor/batch/alone.go
+++ b/croftmoor/batch/alone.go
@@ -13,40 +13,36 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// mostAlone is the age of the state beyond which nothing is begun from it; an
-// instance that has not read the ledger yet counts as older.
-const mostAlone = 30 * clock.Second
-
-// goOn runs items without claims while the ledger can't be reached: each that
-// nobody had claimed in the state that was read last falls to one engine which can
-// run it, and so to the instance that acted for it then. What is made is listed when
-// the ledger is back; an item that ran twice is listed once.
-//
-// The load it answers: the log is away for all for 7 s while four steps wait. When
-// items fell to instances, whether these had an engine with the version or not, 30
-// began in 2 s, of several hundred that engines with room could have run.
-func (r *Runner) goOn(ctx context.Context) {
+// maxStateAge is the greatest age of the state from which items are begun without
+// claims. The age of a state that was never read is greater.
+const maxStateAge = 30 * clock.Second
+
+// beginWithoutClaims starts items while the ledger is unreachable. Rendezvous hashing
+// over the last state read assigns each unclaimed item to one engine that can run it,
+// and only that engine's actor starts it. The results are listed once the ledger
+// answers again; if two instances ran an item, only the first result counts.
+func (r *Runner) beginWithoutClaims(ctx context.Context) {
 	table := r.Routes()
-	if table == nil || !r.Ledger.Away() || r.Ledger.Age() > mostAlone {
+	if table == nil || !r.Ledger.Away() || r.Ledger.Age() > maxStateAge {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var begin []claimed
+	var toBegin []claimed
 	r.Ledger.View(func(b *jobs.State) {
-		s := r.survey(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
+		s := r.snapshot(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
 		if s == nil {
 			return
 		}
-		s.addPieces()
-		for _, d := range deal.Assign(r.share(s), r.ownEngines(s), 0, s.allowed) {
+		s.addItems()
+		for _, d := range deal.Assign(r.ownItems(s), r.ownEngines(s), 0, s.allowed) {
 			job := b.Jobs[d.Item.Job]
 			item := *s.item(d.Item)
 			item.Claim, item.Owner, item.Engine = 0, r.Self, d.Engine
-			begin = append(begin, claimed{key: jobs.ItemKey{Job: job.Job, Index: d.Item.Target.Index}, item: item, accept: job.Accept})
+			toBegin = append(toBegin, claimed{key: jobs.ItemKey{Job: job.Job, Index: d.Item.Target.Index}, item: item, accept: job.Accept})
 		}
 	})
-	for _, c := range begin {
+	for _, c := range toBegin {
 		r.Trail.Add(trail.Decision{
 			ID: string(c.item.ID), Action: trail.Place, Choice: string(c.item.Engine),
 			Reason: fmt.Sprintf("job %s, expects %d tokens, without a claim: the ledger was last read %d ms ago", c.key.Job, c.item.Expect, r.Ledger.Age()),
@@ -55,35 +51,36 @@
 	}
 }
 
-// share returns the waiting items that fall to engines of this instance and that it
-// does not run already; mu is held.
-func (r *Runner) share(s *survey) []deal.RankedItem {
-	var mine []deal.RankedItem
-	fixed := deal.NewRendezvous(s.engines, s.allowed)
-	for _, p := range s.pieces {
+// ownItems returns the waiting items that rendezvous hashing assigns to engines of this
+// instance, without those that it already runs. The caller holds mu.
+func (r *Runner) ownItems(s *snapshot) []deal.RankedItem {
+	var own []deal.RankedItem
+	rendezvous := deal.NewRendezvous(s.engines, s.allowed)
+	for _, p := range s.items {
 		if r.runs[jobs.ItemKey{Job: p.Job, Index: p.Target.Index}] != nil {
 			continue
 		}
-		if engine, ok := fixed.Engine(s.item(p).ID, p.Job); ok && s.actor[engine] == r.Self {
-			mine = append(mine, p)
+		if engine, ok := rendezvous.Engine(s.item(p).ID, p.Job); ok && s.actor[engine] == r.Self {
+			own = append(own, p)
 		}
 	}
-	return mine
+	return own
 }
 
-// replicas is how many instances read a body ahead. The first is often the one that is
-// cut off or restarted in the same trouble.
-const replicas = 2
+// bodyReplicas is the number of instances that prefetch a body. A second one is needed
+// because one failure often takes away both the log and an instance.
+const bodyReplicas = 2
 
-// replicasOf returns which of the instances that act for engines read the body of an
-// item ahead, best first, by rendezvous hashing: who runs it is not known yet.
+// replicasOf returns the instances that prefetch the body of an item, best first. They
+// are chosen by rendezvous hashing among actors, since the instance that will run the
+// item is not known yet.
 func replicasOf(id ident.Item, actors []views.Member) []views.Member {
 	ranked := views.Rank("replica "+string(id), actors)
-	return ranked[:min(replicas, len(ranked))]
+	return ranked[:min(bodyReplicas, len(ranked))]
 }
 
-// actors returns the instances that act for engines which may get items.
-func (s *survey) actors() []views.Member {
+// actingInstances returns the actors of the engines that may get items.
+func (s *snapshot) actingInstances() []views.Member {
 	known := map[ident.InstanceName]bool{}
 	var actors []views.Member
 	for _, e := range s.engines {
@@ -95,12 +92,13 @@
 	return actors
 }
 
-// ownEngines returns the engines that this instance acts for, with the load of
-// its own runs: the ledger's does not fall while it can't be read; mu is held.
-func (r *Runner) ownEngines(s *survey) []deal.Engine {
+// ownEngines returns the engines that this instance acts for. Their load counts this
+// instance's own runs, because the ledger's load does not fall while the ledger is
+// unreachable. The caller holds mu.
+func (r *Runner) ownEngines(s *snapshot) []deal.Engine {
 	loads := map[ident.BackendName]int{}
 	for _, run := range r.runs {
-		if !run.made.Load() {
+		if !run.generated.Load() {
 			loads[run.engine]++
 		}
 	}
@@ -114,45 +112,45 @@
 	return own
 }
 
-// late returns claims for the items that this instance began without one.
-func (r *Runner) late() []jobs.Claim {
+// lateClaims returns claims for the items that this instance began without one.
+func (r *Runner) lateClaims() []jobs.Claim {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var claims []jobs.Claim
 	for key, run := range r.runs {
-		if run.claim == 0 && !run.made.Load() && !r.pending[key] {
+		if run.claim == 0 && !run.generated.Load() && !r.pending[key] {
 			claims = append(claims, jobs.Claim{Job: key.Job, By: r.Self, Engine: run.engine, Targets: []jobs.Target{{Index: key.Index}}})
 		}
 	}
 	return claims
 }
 
-// fetchSpan is the span over which the instances read the bodies of a new job
-// ahead: most items are claimed within it, and whoever runs an item reads its body
-// in any case.
-const fetchSpan = 500 * clock.Millis(1)
+// prefetchWindow is the time after a job's arrival within which instances prefetch its
+// bodies. Most items are claimed within it, and an instance that runs an item reads the
+// body in any case.
+const prefetchWindow = 500 * clock.Millis(1)
 
-// prefetch has the bodies of jobs read that have just come; mu is held.
-func (r *Runner) prefetch(ctx context.Context, open map[ident.Job]bool) {
+// schedulePrefetch prefetches the bodies of jobs that are new in open, each after a
+// delay that differs between instances. The caller holds mu.
+func (r *Runner) schedulePrefetch(ctx context.Context, open map[ident.Job]bool) {
 	for id := range open {
-		if r.fetched[id] {
+		if r.prefetched[id] {
 			continue
 		}
-		pause := fetchSpan/2 + clock.Millis(ident.Hash(string(id), string(r.Self))%uint64(fetchSpan/2))
+		pause := prefetchWindow/2 + clock.Millis(ident.Hash(string(id), string(r.Self))%uint64(prefetchWindow/2))
 		r.group.Go(func() {
 			if r.Clock.Sleep(ctx, pause) {
-				r.fetch(ctx, id)
+				r.prefetchJob(ctx, id)
 			}
 		})
 	}
-	r.fetched = open
+	r.prefetched = open
 }
 
-// fetch reads the bodies of those waiting items of a job into the cache of which this
-// instance holds a replica. So each body is read ahead twice, however many instances there
-// are.
-func (r *Runner) fetch(ctx context.Context, id ident.Job) {
-	for _, span := range r.ahead(id) {
+// prefetchJob reads into the cache those bodies of a job's waiting items of which this
+// instance keeps a replica. It stops at the first error.
+func (r *Runner) prefetchJob(ctx context.Context, id ident.Job) {
+	for _, span := range r.bodiesToPrefetch(id) {
 		if _, err := r.Blobs.Get(ctx, span); err != nil {
 			if ctx.Err() == nil {
 				r.Trail.Add(trail.Decision{ID: string(id), Action: trail.Hold, Choice: "bodies not fetched", Reason: err.Error()})
@@ -162,8 +160,9 @@
 	}
 }
 
-// ahead returns the bodies of a job that this instance should read ahead.
-func (r *Runner) ahead(id ident.Job) []jobs.Span {
+// bodiesToPrefetch returns the bodies of a job's waiting items of which this instance
+// keeps a replica.
+func (r *Runner) bodiesToPrefetch(id ident.Job) []jobs.Span {
 	table := r.Routes()
 	if table == nil {
 		return nil
@@ -175,13 +174,13 @@
 		if job := b.Jobs[id]; job == nil || !job.Open() || job.Waiting == 0 {
 			return
 		}
-		s := r.survey(b, table, r.Ledger.QuietSince())
+		s := r.snapshot(b, table, r.Ledger.QuietSince())
 		if s == nil {
 			return
 		}
-		s.addPieces()
-		actors := s.actors()
-		for _, p := range s.pieces {
+		s.addItems()
+		actors := s.actingInstances()
+		for _, p := range s.items {
 			if p.Job != id {
 				continue
 			}
@@ -194,15 +193,15 @@
 	return spans
 }
 
-// bodyTerm is how long the log is asked for a body before replicas are: one that takes
-// fifty times its usual 4 ms comes within it, one that is silent keeps no item longer.
-const bodyTerm = 1 * clock.Second
+// bodyReadTimeout is how long a read of a body from the log may take before the replicas
+// are asked. It is long enough for a slow answer of the log.
+const bodyReadTimeout = 1 * clock.Second
 
-// body returns what is kept of an item: from the log, or while that does not answer
-// from an instance that has read it ahead.
-func (r *Runner) body(ctx context.Context, item *jobs.Item) ([]byte, error) {
+// readBody returns the encoded item. It asks the log first, unless the log is
+// unreachable, then the instances that prefetched the body, then the log again.
+func (r *Runner) readBody(ctx context.Context, item *jobs.Item) ([]byte, error) {
 	if !r.Ledger.Away() {
-		first, cancel := context.WithTimeout(ctx, bodyTerm.Duration())
+		first, cancel := context.WithTimeout(ctx, bodyReadTimeout.Duration())
 		data, err := r.Blobs.Get(first, item.Body)
 		cancel()
 		if err == nil {
@@ -217,7 +216,8 @@
 	return r.Blobs.Get(ctx, item.Body)
 }
 
-// replicaAddresses returns where an item's body may have been read ahead.
+// replicaAddresses returns the addresses of the other instances that may have prefetched
+// an item's body.
 func (r *Runner) replicaAddresses(id ident.Item) []ident.Address {
 	table := r.Routes()
 	if table == nil {
@@ -227,11 +227,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ledger.View(func(b *jobs.State) {
-		s := r.survey(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
+		s := r.snapshot(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
 		if s == nil {
 			return
 		}
-		for _, m := range replicasOf(id, s.actors()) {
+		for _, m := range replicasOf(id, s.actingInstances()) {
 			if member := b.Members[m.Name]; member != nil && m.Name != r.Self && member.Address != "" {
 				addresses = append(addresses, member.Address)
 			}
--- a/croftmoor/batch/away_test.go
+++ b/croftmoor/batch/away_test.go
@@ -15,70 +15,70 @@
 	"croftmoor.dev/kernel/jobs"
 )
 
-// awayLedger is a ledger that was read to its end and answers no more.
-type awayLedger struct{ *bookLedger }
+// unreachableLedger was read to its end and does not answer any more.
+type unreachableLedger struct{ *stateLedger }
 
-func (l awayLedger) Fresh() bool       { return false }
-func (l awayLedger) Away() bool        { return true }
-func (l awayLedger) Age() clock.Millis { return 2 * clock.Second }
-func (l awayLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
+func (l unreachableLedger) Fresh() bool       { return false }
+func (l unreachableLedger) Away() bool        { return true }
+func (l unreachableLedger) Age() clock.Millis { return 2 * clock.Second }
+func (l unreachableLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
 	return 0, errors.New("away")
 }
 
-// fullEngines notes where each item is begun, and never ends one.
-type fullEngines struct {
-	mu sync.Mutex
-	at map[ident.Item][]ident.BackendName
+// blockingEngines record where each item is begun, and run it until it is cancelled.
+type blockingEngines struct {
+	mu      sync.Mutex
+	begunAt map[ident.Item][]ident.BackendName
 }
 
-func (*fullEngines) Ended(context.Context, fleet.Member) bool { return false }
+func (*blockingEngines) Ended(context.Context, fleet.Member) bool { return false }
 
-func (e *fullEngines) Run(ctx context.Context, engine fleet.Member, item work.Item, _ int) (Events, error) {
+func (e *blockingEngines) Run(ctx context.Context, engine fleet.Member, item work.Item, _ int) (Events, error) {
 	e.mu.Lock()
-	e.at[item.ID] = append(e.at[item.ID], ident.BackendName(engine.Name))
+	e.begunAt[item.ID] = append(e.begunAt[item.ID], ident.BackendName(engine.Name))
 	e.mu.Unlock()
 	<-ctx.Done()
 	return nil, fault.New("t", Broken, "stopped")
 }
 
-// itemBlobs has every body, as instances have read them ahead.
-type itemBlobs struct{ countingBlobs }
+// replicaBlobs returns bodies from other instances only.
+type replicaBlobs struct{ countingBlobs }
 
-func (b *itemBlobs) Get(context.Context, jobs.Span) ([]byte, error) {
+func (b *replicaBlobs) Get(context.Context, jobs.Span) ([]byte, error) {
 	return nil, errors.New("away")
 }
 
-func (b *itemBlobs) FetchFrom(_ context.Context, _ ident.Address, span jobs.Span) ([]byte, error) {
+func (b *replicaBlobs) FetchFrom(_ context.Context, _ ident.Address, span jobs.Span) ([]byte, error) {
 	return work.Encode(work.Item{ID: ident.Item(fmt.Sprintf("0-%d", span.First))})
 }
 
-// The log goes away for all while a step of 160 items waits and a quarter of 44
-// engines have its version. Callers get the step only if its items begin all the same:
-// each at one engine that can run it, as many as these have slots for.
+// While no instance can reach the log, each item must begin at exactly one engine that can
+// run it, and nearly all slots of such engines must be used. Here a quarter of the engines
+// have the job's version.
 func TestItemsBeginWhileTheLogIsAway(t *testing.T) {
 	const instances, engines, slots = 20, 44, 8
-	began := &fullEngines{at: map[ident.Item][]ident.BackendName{}}
+	began := &blockingEngines{begunAt: map[ident.Item][]ident.BackendName{}}
 	ctx, stop := context.WithCancel(t.Context())
 	var runners []*Runner
 	for n := range instances {
-		r := crowd(instances, engines, 0)
+		r := newTestRunner(instances, engines, 0)
 		r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
-		ledger, _ := r.Ledger.(*bookLedger)
-		r.Ledger, r.Engines, r.Blobs = awayLedger{ledger}, began, &itemBlobs{}
+		ledger, _ := r.Ledger.(*stateLedger)
+		r.Ledger, r.Engines, r.Blobs = unreachableLedger{ledger}, began, &replicaBlobs{}
 		accept := jobs.Accept{Job: "job-0", Host: "h", Prefix: "/p/", Service: "models", Model: "m", MinVersion: 2}
 		for i := range 160 {
 			accept.Items = append(accept.Items, jobs.ItemSpec{ID: ident.Item(fmt.Sprintf("0-%d", i)), Expect: 100, Body: jobs.Span{First: ident.Offset(i), Count: 1}})
 		}
-		ledger.book.Apply(ledger.book.Next+1, accept, r.Clock.Mono())
+		ledger.state.Apply(ledger.state.Next+1, accept, r.Clock.Mono())
 		for m := range instances {
 			by := ident.InstanceName(fmt.Sprintf("front-%d", m))
-			ledger.book.Members[by].Address = ident.Address(by)
+			ledger.state.Members[by].Address = ident.Address(by)
 		}
 		for e := 0; e < engines; e += 4 {
-			ledger.book.Apply(ledger.book.Next+1, jobs.Loaded{Engine: ident.BackendName(fmt.Sprintf("engine-%d", e)), Model: "m", Version: 2}, r.Clock.Mono())
+			ledger.state.Apply(ledger.state.Next+1, jobs.Loaded{Engine: ident.BackendName(fmt.Sprintf("engine-%d", e)), Model: "m", Version: 2}, r.Clock.Mono())
 		}
 		runners = append(runners, r)
-		r.goOn(ctx)
+		r.beginWithoutClaims(ctx)
 	}
 	running := 0
 	for _, r := range runners {
@@ -87,7 +87,7 @@
 	c := clock.New()
 	for range 300 {
 		began.mu.Lock()
-		n := len(began.at)
+		n := len(began.begunAt)
 		began.mu.Unlock()
 		if n == running {
 			break
@@ -99,28 +99,28 @@
 		r.group.Wait()
 	}
 	const room = engines / 4 * slots
-	if len(began.at) < room*4/5 || len(began.at) > room {
-		t.Errorf("%d items began, want nearly the %d that the engines have slots for", len(began.at), room)
+	if len(began.begunAt) < room*4/5 || len(began.begunAt) > room {
+		t.Errorf("%d items began, want nearly the %d that the engines have slots for", len(began.begunAt), room)
 	}
-	for id, at := range began.at {
+	for id, at := range began.begunAt {
 		if len(at) != 1 {
 			t.Errorf("%s began at %v, want one engine", id, at)
 		}
 	}
 }
 
-// silentBlobs never answers from the log.
-type silentBlobs struct{ itemBlobs }
+// silentBlobs does not answer reads from the log.
+type silentBlobs struct{ replicaBlobs }
 
 func (b *silentBlobs) Get(ctx context.Context, _ jobs.Span) ([]byte, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// While the log takes calls and says nothing, an item's body comes from an instance that has
-// read it ahead, and not only when all tries at the log have run out of their time.
+// If the log accepts reads and does not answer, the body must come from a replica after
+// bodyReadTimeout, not after the whole of the caller's time.
 func TestBodyOfASilentLog(t *testing.T) {
-	r := crowd(4, 4, 1)
+	r := newTestRunner(4, 4, 1)
 	r.Blobs = &silentBlobs{}
 	var item jobs.Item
 	r.Ledger.View(func(b *jobs.State) {
@@ -129,11 +129,11 @@
 			member.Address = ident.Address(name)
 		}
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), (3 * bodyTerm).Duration())
+	ctx, cancel := context.WithTimeout(t.Context(), (3 * bodyReadTimeout).Duration())
 	defer cancel()
 	began := r.Clock.Mono()
-	_, err := r.body(ctx, &item)
-	if took := r.Clock.Mono() - began; err != nil || took > bodyTerm+clock.Second/2 {
-		t.Errorf("error %v after %d ms, want the body after %d", err, took, bodyTerm)
+	_, err := r.readBody(ctx, &item)
+	if elapsed := r.Clock.Mono() - began; err != nil || elapsed > bodyReadTimeout+clock.Second/2 {
+		t.Errorf("error %v after %d ms, want the body after %d", err, elapsed, bodyReadTimeout)
 	}
 }
--- a/croftmoor/batch/dealer.go
+++ b/croftmoor/batch/dealer.go
@@ -11,36 +11,34 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// One instance, the dealer, claims the items of a service on behalf of those that act
-// for its engines. All instances compute the same deal, but each from the ledger as
-// far as it has read it: when each claimed its own part, items were claimed 1.3 to 2.1
-// times with 13 instances and 7.4 times with 84, and ran at the engine of whoever
-// came first, not at the best one.
+// One instance, the dealer, claims the items of a service on behalf of the instances that
+// act for its engines. All instances could compute the same assignment, but each has read
+// the ledger to a different offset: if each claimed its own part, items would be claimed
+// several times and would not run at the best engine.
 //
-// The dealer is the first of the living followers by rendezvous hashing. It holds no
-// lease: of two claims of an item the first in the ledger counts, so two dealers
-// waste records and break nothing. While it is silent each instance places items at
-// its own engines, and after QuietSince another one deals.
+// The dealer is chosen among the live instances by rendezvous hashing and needs no lease:
+// of two claims for an item the first in the ledger counts, so a second dealer only wastes
+// records. If the dealer is silent, each instance claims items for its own idle engines,
+// and once QuietSince is past the dealer's last heartbeat, another instance deals.
 
-// idleTerm is how long an engine may have room for an item that waits before the
-// instance that acts for it no longer leaves it to the dealer: the dealer's record
-// takes some 50 ms to come, and a slot that rests costs a step less than items that
-// race.
-const idleTerm = 400 * clock.Millis(1)
+// idleBeforeOwnShare is how long an own engine with room may get nothing from the dealer
+// before this instance claims, for that engine, items that rendezvous hashing assigns to
+// its own engines. It is longer than a claim of the dealer usually takes to arrive: an
+// idle slot costs less than items that several instances claim.
+const idleBeforeOwnShare = 400 * clock.Millis(1)
 
-// lookPause is the pause between two looks at own engines that may have rested: a deal
-// of its own after each batch of records, up to 60 a second, took an instance 1 to 4 ms
-// with 300 engines and 1,000 items that wait (measured on this function).
-const lookPause = 100 * clock.Millis(1)
+// idleCheckPeriod is the least time between two checks for own idle engines. A check
+// costs an assignment, which is too much after every batch of records.
+const idleCheckPeriod = 100 * clock.Millis(1)
 
-// aloneTerm is how long an engine may have rested before its instance takes any item
-// rather than those that fall to it by rendezvous hashing: without a dealer all
-// instances would claim the same longest item, one of them with success, and again
-// for the next one.
-const aloneTerm = 1200 * clock.Millis(1)
+// idleBeforeAnyItem is how long an own engine with room may get nothing before this
+// instance claims any waiting item for it. Before that, only items assigned by rendezvous
+// hashing are claimed: otherwise, without a dealer, all instances would claim the same
+// longest item.
+const idleBeforeAnyItem = 1200 * clock.Millis(1)
 
-// dealer returns the instance that deals for a service; mu is held, and the actors
-// have been worked out.
+// dealer returns the instance that deals for a service. The caller holds mu and has
+// refreshed r.actors.
 func (r *Runner) dealer(service ident.Service) ident.InstanceName {
 	if r.actors.dealers == nil {
 		r.actors.dealers = map[ident.Service]ident.InstanceName{}
@@ -57,8 +55,9 @@
 	return dealer.Name
 }
 
-// plan returns the claims that this instance should make now.
-func (r *Runner) plan() []jobs.Claim {
+// planClaims returns the claims that this instance should make now: as the dealer, and
+// for its own engines that the dealer left idle.
+func (r *Runner) planClaims() []jobs.Claim {
 	table := r.Routes()
 	if table == nil {
 		return nil
@@ -67,84 +66,84 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Ledger.View(func(b *jobs.State) {
-		s := r.survey(b, table, r.Ledger.QuietSince())
+		s := r.snapshot(b, table, r.Ledger.QuietSince())
 		if s == nil {
-			clear(r.idle)
+			clear(r.idleSince)
 			return
 		}
-		dealt := func(e deal.Engine) bool { return r.dealer(s.services[e.Name]) == r.Self }
-		if s.room(dealt, overbook) {
-			s.addPieces()
-			claims = r.claims(s, deal.Assign(s.pieces, s.only(dealt), overbook, s.allowed))
+		dealtHere := func(e deal.Engine) bool { return r.dealer(s.services[e.Name]) == r.Self }
+		if s.hasRoom(dealtHere, overbook) {
+			s.addItems()
+			claims = r.newClaims(s, deal.Assign(s.items, s.enginesWhere(dealtHere), overbook, s.allowed))
 		}
-		own := func(e deal.Engine) bool { return s.actor[e.Name] == r.Self && !dealt(e) }
-		if s.now < r.looked+lookPause {
+		own := func(e deal.Engine) bool { return s.actor[e.Name] == r.Self && !dealtHere(e) }
+		if s.now < r.lastIdleCheck+idleCheckPeriod {
 			return
 		}
-		r.looked = s.now
-		if s.room(own, 0) {
-			s.addPieces()
-			claims = append(claims, r.unaided(s, own)...)
+		r.lastIdleCheck = s.now
+		if s.hasRoom(own, 0) {
+			s.addItems()
+			claims = append(claims, r.claimsForIdleEngines(s, own)...)
 		} else {
-			clear(r.idle)
+			clear(r.idleSince)
 		}
 	})
 	return claims
 }
 
-// unaided returns claims for engines that this instance acts for and that have had
-// room for long without the dealer giving them an item.
-func (r *Runner) unaided(s *survey, own func(deal.Engine) bool) []jobs.Claim {
+// claimsForIdleEngines returns claims for the engines in own that have had room for
+// longer than idleBeforeOwnShare, and updates idleSince.
+func (r *Runner) claimsForIdleEngines(s *snapshot, own func(deal.Engine) bool) []jobs.Claim {
 	idle := map[ident.BackendName]clock.Millis{}
 	longest := clock.Millis(0)
-	for _, d := range deal.Assign(s.pieces, s.only(own), 0, s.allowed) {
-		since, known := r.idle[d.Engine]
+	for _, d := range deal.Assign(s.items, s.enginesWhere(own), 0, s.allowed) {
+		since, known := r.idleSince[d.Engine]
 		if !known {
 			since = s.now
 		}
 		idle[d.Engine] = since
 		longest = max(longest, s.now-since)
 	}
-	r.idle = idle
-	if longest <= idleTerm {
+	r.idleSince = idle
+	if longest <= idleBeforeOwnShare {
 		return nil
 	}
-	rested := func(e deal.Engine) bool {
+	idleLong := func(e deal.Engine) bool {
 		since, known := idle[e.Name]
-		return known && s.now-since > idleTerm
+		return known && s.now-since > idleBeforeOwnShare
 	}
-	pieces := s.pieces
-	if longest <= aloneTerm {
-		pieces = r.share(s)
+	items := s.items
+	if longest <= idleBeforeAnyItem {
+		items = r.ownItems(s)
 	}
-	return r.claims(s, deal.Assign(pieces, s.only(rested), 0, s.allowed))
+	return r.newClaims(s, deal.Assign(items, s.enginesWhere(idleLong), 0, s.allowed))
 }
 
-// claims turns a deal into claims, one for each job and engine, and leaves out what
-// this instance has claimed already.
-func (r *Runner) claims(s *survey, deals []deal.Assignment) []jobs.Claim {
+// newClaims turns assignments into claims, one for each job and engine, and skips items
+// with a pending claim of this instance.
+func (r *Runner) newClaims(s *snapshot, deals []deal.Assignment) []jobs.Claim {
 	type target struct {
 		job    ident.Job
 		engine ident.BackendName
 	}
-	at := map[target]int{}
+	indexes := map[target]int{}
 	var claims []jobs.Claim
 	for _, d := range deals {
 		if r.pending[jobs.ItemKey{Job: d.Item.Job, Index: d.Item.Target.Index}] {
 			continue
 		}
 		key := target{job: d.Item.Job, engine: d.Engine}
-		n, ok := at[key]
+		n, ok := indexes[key]
 		if !ok {
 			n = len(claims)
-			at[key] = n
+			indexes[key] = n
 			claims = append(claims, jobs.Claim{Job: d.Item.Job, By: s.actor[d.Engine], Engine: d.Engine, Dealer: r.Self})
 		}
 		claims[n].Targets = append(claims[n].Targets, d.Item.Target)
 		r.Trail.Add(trail.Decision{
 			ID: string(s.item(d.Item).ID), Action: trail.Place, Choice: string(d.Engine),
 			Reason: fmt.Sprintf("job %s, expects %d tokens, %s, load %d, run by %s, ledger %d",
-				d.Item.Job, d.Item.Expect, d.Item.Rank, s.book.Loads[d.Engine].Items, s.actor[d.Engine], s.book.Next),
+				d.Item.Job, d.Item.Expect, d.Item.Rank, s.state.Loads[d.Engine].Items, s.actor[d.Engine], s.state.Next),
 		})
 	}
 	return claims
--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -13,155 +13,155 @@
 )
 
 const (
-	// meterEvents is how many of the last events tell the present speed, and also
-	// how often it is asked whether another engine would be faster.
-	meterEvents = 8
-	// keptMarks is how many are kept: two such spans, since an engine that shares its machine
-	// is slow for some 0.6 s at a time, which is less than two spans of slow events.
-	keptMarks = 2 * meterEvents
-	// eventTokens is how many tokens an event is taken to hold where the length
-	// of a text is only known in tokens.
-	eventTokens = 52
-	// A text that has reached its expected length goes on for a share of what it
-	// has, and for leastLeft events at least: estimates are often far too low, and
-	// the longer a text the more it still grows.
-	madeShare = 2
-	leastLeft = 20
+	// windowEvents is the number of events over which the pace is measured, and between
+	// two comparisons with other engines.
+	windowEvents = 8
+	// keptTimes is the number of event times kept. Two windows are longer than the
+	// short slowdowns of an engine that shares its machine.
+	keptTimes = 2 * windowEvents
+	// tokensPerEvent converts expected lengths, which are in tokens, to events.
+	tokensPerEvent = 52
+	// A text that has reached its expected length is expected to go on for its present
+	// length divided by overrunDivisor, and for at least minEventsLeft events:
+	// estimates are often far too low, and longer texts grow by more.
+	overrunDivisor = 2
+	minEventsLeft  = 20
 )
 
 // meter measures the speed of a run.
 type meter struct {
 	clock *clock.Clock
-	// began is when the run was begun.
-	began clock.Millis
-
-	events int
-	first  clock.Millis
-	last   clock.Millis
-	// marks are the times of the last events.
-	marks [keptMarks]clock.Millis
-	// shares tells that the engine shares its machine with others.
-	shares bool
-	// crowds is the sum of what was seen of how many times longer events took for
-	// what ran beside, looks how often that was looked at.
-	crowds float64
-	looks  int
+	// startedAt is the time at which the run was started.
+	startedAt clock.Millis
+
+	events  int
+	firstAt clock.Millis
+	lastAt  clock.Millis
+	// times are the arrival times of the last events, as a ring.
+	times [keptTimes]clock.Millis
+	// sharesMachine is set if the engine shares its machine with others.
+	sharesMachine bool
+	// slowdownSum is the sum of the sampled slowdown factors that the engine's other
+	// load causes, loadSamples their number.
+	slowdownSum float64
+	loadSamples int
 }
 
-// look notes what runs at the engine beside this run.
-func (m *meter) look(beside jobs.Load) {
-	m.crowds += deal.Slowdown(beside)
-	m.looks++
+// sampleLoad records the load of the engine's other items.
+func (m *meter) sampleLoad(beside jobs.Load) {
+	m.slowdownSum += deal.Slowdown(beside)
+	m.loadSamples++
 }
 
-// crowd returns how many times longer an event took for what ran beside.
-func (m *meter) crowd() float64 {
-	if m.looks == 0 {
+// meanSlowdown returns the mean factor by which other items slowed the run down.
+func (m *meter) meanSlowdown() float64 {
+	if m.loadSamples == 0 {
 		return 1
 	}
-	return m.crowds / float64(m.looks)
+	return m.slowdownSum / float64(m.loadSamples)
 }
 
-// note counts an event that has just come.
-func (m *meter) note() {
+// recordEvent counts an event that arrives now.
+func (m *meter) recordEvent() {
 	now := m.clock.Mono()
 	if m.events == 0 {
-		m.first = now
+		m.firstAt = now
 	}
-	m.last = now
-	m.marks[m.events%keptMarks] = now
+	m.lastAt = now
+	m.times[m.events%keptTimes] = now
 	m.events++
 }
 
-// due tells whether it is time to compare speeds.
-func (m *meter) due() bool {
-	return m.events > meterEvents && m.events%meterEvents == 0
+// comparisonDue reports whether to compare the pace with that of other engines now.
+func (m *meter) comparisonDue() bool {
+	return m.events > windowEvents && m.events%windowEvents == 0
 }
 
-// pace returns the time of an event lately, in milliseconds; 0 if unknown.
+// pace returns the mean time of an event in the last window, in milliseconds; 0 if
+// unknown.
 func (m *meter) pace() float64 {
-	if m.events <= meterEvents {
+	if m.events <= windowEvents {
 		return 0
 	}
 	return m.paceBefore(0)
 }
 
-// lasting returns the time of an event that is expected to last: where the engine shares its
-// machine, that of the faster one of the last two spans, so that a slow spell moves nothing.
-// 0 is unknown.
-func (m *meter) lasting() float64 {
-	if !m.shares {
+// sustainedPace returns the time of an event that is expected to last, in milliseconds;
+// 0 if unknown. If the engine shares its machine, it is the faster of the last two
+// windows, because a short slowdown must not move the item.
+func (m *meter) sustainedPace() float64 {
+	if !m.sharesMachine {
 		return m.pace()
 	}
-	if m.events < keptMarks {
+	if m.events < keptTimes {
 		return 0
 	}
-	return min(m.paceBefore(0), m.paceBefore(meterEvents))
+	return min(m.paceBefore(0), m.paceBefore(windowEvents))
 }
 
-// paceBefore returns the time of an event in the span of meterEvents that ended so many
-// events ago.
+// paceBefore returns the mean time of an event, in milliseconds, in the window that ended
+// ago events before the last one.
 func (m *meter) paceBefore(ago int) float64 {
-	newest := m.marks[(m.events-1-ago)%keptMarks]
-	oldest := m.marks[(m.events-ago-meterEvents)%keptMarks]
-	return float64(newest-oldest) / float64(meterEvents-1)
+	newest := m.times[(m.events-1-ago)%keptTimes]
+	oldest := m.times[(m.events-ago-windowEvents)%keptTimes]
+	return float64(newest-oldest) / float64(windowEvents-1)
 }
 
-// waited returns how long the engine took to the first event.
-func (m *meter) waited() clock.Millis {
+// timeToFirstEvent returns the time from the start to the first event; 0 if there is
+// none.
+func (m *meter) timeToFirstEvent() clock.Millis {
 	if m.events == 0 {
 		return 0
 	}
-	return m.first - m.began
+	return m.firstAt - m.startedAt
 }
 
-// speed returns what the run tells of its engine, as if nothing had run beside.
-// The first event is left out, because it holds the wait for a slot and the
-// reading of the prompt.
-func (m *meter) speed(engine ident.BackendName) jobs.Timing {
-	return jobs.Timing{Engine: engine, Events: max(m.events-1, 0), Millis: int(float64(m.last-m.first) / m.crowd())}
+// timing returns the speed of the run as if the engine had had no other items. It leaves
+// out the first event, which includes the wait for a slot and the prefill.
+func (m *meter) timing(engine ident.BackendName) jobs.Timing {
+	return jobs.Timing{Engine: engine, Events: max(m.events-1, 0), Millis: int(float64(m.lastAt-m.firstAt) / m.meanSlowdown())}
 }
 
-// better tells whether the rest of a text should be made by another engine that
-// has a free slot.
-func (r *Runner) better(c claimed, made int, m *meter) bool {
+// shouldMove reports whether another engine with a free slot should make the rest of the
+// text; events is the number of events so far.
+func (r *Runner) shouldMove(c claimed, events int, m *meter) bool {
 	table := r.Routes()
 	policy, err := place.Policies.New(place.Longest)
-	// While the ledger can't be reached nobody would learn that the item waits.
+	// Without the ledger no other instance would learn that the item waits.
 	if table == nil || err != nil || !r.Without.Enabled(toggle.Moves) || !r.Ledger.Fresh() {
 		return false
 	}
-	other := 0.0
+	otherPace := 0.0
 	r.Ledger.View(func(b *jobs.State) {
-		m.look(beside(b, c.item))
-		other = r.fastest(b, c, table.Services[c.accept.Service].Slots)
+		m.sampleLoad(otherLoad(b, c.item))
+		otherPace = r.fastestOtherPace(b, c, table.Services[c.accept.Service].Slots)
 	})
-	if other == 0 {
+	if otherPace == 0 {
 		return false
 	}
-	left := max(int(c.item.Expect)/eventTokens-made, made/madeShare, leastLeft)
+	eventsLeft := max(int(c.item.Expect)/tokensPerEvent-events, events/overrunDivisor, minEventsLeft)
 	return policy.ShouldMove(place.MoveCandidate{
-		LastOfStep: true, TokensLeft: ident.Tokens(left), Rate: perSecond(m.lasting()), OtherRate: perSecond(other), Moves: c.item.Yields,
+		LastOfStep: true, TokensLeft: ident.Tokens(eventsLeft), Rate: eventsPerSecond(m.sustainedPace()), OtherRate: eventsPerSecond(otherPace), Moves: c.item.Yields,
 	})
 }
 
-// beside returns what runs at an item's engine beside it.
-func beside(b *jobs.State, item jobs.Item) jobs.Load {
+// otherLoad returns the load of an item's engine without the item itself.
+func otherLoad(b *jobs.State, item jobs.Item) jobs.Load {
 	load := b.Loads[item.Engine]
 	return jobs.Load{Items: max(load.Items-1, 0), Expect: max(load.Expect-item.Expect, 0)}
 }
 
-// perSecond turns milliseconds an event into events a second.
-func perSecond(pace float64) float64 {
+// eventsPerSecond converts milliseconds per event; 0 if unknown.
+func eventsPerSecond(pace float64) float64 {
 	if pace <= 0 {
 		return 0
 	}
 	return float64(clock.Second) / pace
 }
 
-// fastest returns the shortest expected time of an event at another engine that
-// could go on with the item; 0 if there is none.
-func (r *Runner) fastest(b *jobs.State, c claimed, slots int) float64 {
+// fastestOtherPace returns the shortest expected time of an event, in milliseconds, at
+// another engine that could continue the item; 0 if there is none.
+func (r *Runner) fastestOtherPace(b *jobs.State, c claimed, slots int) float64 {
 	now := r.Clock.Mono()
 	best := 0.0
 	for _, m := range r.Fleet.View().Backends[c.accept.Service] {
--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -18,70 +18,70 @@
 )
 
 const (
-	// firstTerm is how long an engine may take to its first event, queuedTerm if the
-	// item may have to wait there for a slot, and gapTerm how long between two events,
-	// before the rest is run elsewhere. Of 1,183 first events of a quiet day one in a
-	// thousand took longer than 0.9 s; an event takes some 50 ms on a full engine and
-	// four times that on a slow one.
-	firstTerm  = 1200 * clock.Millis(1)
-	queuedTerm = 3 * clock.Second
-	gapTerm    = 600 * clock.Millis(1)
-	// avoidBusy and avoidBroken are how long, in milliseconds, an engine gets no
-	// items after it had no room, or broke an answer off.
-	avoidBusy   = 400
-	avoidBroken = 1500
-	// finishTerm and yieldTerm bound the writing of a result or of a beginning;
-	// after them the claim has long been replaced.
-	finishTerm = 15 * clock.Second
-	yieldTerm  = 2 * clock.Second
-	rewardGap  = 30 * clock.Millis(1)
+	// firstEventTimeout is how long an engine may take to its first event,
+	// queuedEventTimeout the same if the item may wait there for a slot, and
+	// eventGapTimeout the longest time between two events. After them another engine
+	// runs the rest.
+	firstEventTimeout  = 1200 * clock.Millis(1)
+	queuedEventTimeout = 3 * clock.Second
+	eventGapTimeout    = 600 * clock.Millis(1)
+	// avoidBusyMillis and avoidBrokenMillis are how long an engine gets no items after
+	// it was full, or after a run there broke.
+	avoidBusyMillis   = 400
+	avoidBrokenMillis = 1500
+	// finishTimeout bounds the writing of a result, yieldTimeout that of a yield. By
+	// then another instance has claimed the item.
+	finishTimeout    = 15 * clock.Second
+	yieldTimeout     = 2 * clock.Second
+	rewardRetryPause = 30 * clock.Millis(1)
 )
 
-// perform runs a claimed item to its result, or gives it back.
+// perform runs a claimed item to its result, or yields it.
 func (r *Runner) perform(ctx context.Context, c claimed, own *run) {
-	made := &progress{runner: r, claim: c}
-	item, err := r.load(ctx, made)
+	prog := &progress{runner: r, claim: c}
+	item, err := r.load(ctx, prog)
 	if err != nil {
-		r.giveBack(ctx, made, jobs.Yield{}, "kept data: "+err.Error())
+		r.yieldItem(ctx, prog, jobs.Yield{}, "kept data: "+err.Error())
 		return
 	}
 	if left, why := r.held(item); left > 0 {
-		r.putOff(ctx, made, left, why)
+		r.deferItem(ctx, prog, left, why)
 		return
 	}
-	meter := &meter{clock: r.Clock, began: r.Clock.Mono()}
-	r.Ledger.View(func(b *jobs.State) { meter.look(beside(b, c.item)) })
-	if !made.whole {
-		if err := r.generate(ctx, item, made, meter); err != nil {
-			r.noteEnd(ctx, item, made, err)
-			r.broken(ctx, made, meter, err)
+	meter := &meter{clock: r.Clock, startedAt: r.Clock.Mono()}
+	r.Ledger.View(func(b *jobs.State) { meter.sampleLoad(otherLoad(b, c.item)) })
+	if !prog.textComplete {
+		if err := r.generate(ctx, item, prog, meter); err != nil {
+			r.reportEngineEnd(ctx, item, prog, err)
+			r.handleFailure(ctx, prog, meter, err)
 			return
 		}
-		made.whole = true
-		r.answered(item)
+		prog.textComplete = true
+		r.reportAnswered(item)
 	}
-	own.made.Store(true)
-	r.complete(ctx, item, made, meter)
+	own.generated.Store(true)
+	r.complete(ctx, item, prog, meter)
 }
 
-// load reads the item and takes over what was kept of its text.
-func (r *Runner) load(ctx context.Context, made *progress) (work.Item, error) {
-	c := made.claim
-	data, err := r.body(ctx, &c.item)
+// load reads the item, and takes over its saved text into prog if the job accepts the
+// versions that made it.
+func (r *Runner) load(ctx context.Context, prog *progress) (work.Item, error) {
+	c := prog.claim
+	data, err := r.readBody(ctx, &c.item)
 	if err != nil {
 		return work.Item{}, err
 	}
 	if partial := c.item.Partial; partial.Fits(c.accept.MinVersion, c.accept.SingleVersion) {
-		made.kept = partial
-		made.events, made.versions, made.whole = partial.Events, slices.Clone(partial.Versions), partial.Complete
+		prog.saved = partial
+		prog.events, prog.versions, prog.textComplete = partial.Events, slices.Clone(partial.Versions), partial.Complete
 	}
 	item, err := work.Decode(data)
-	item.Organisation, item.Priority = c.accept.Organisation, r.urgent(c.accept)
+	item.Organisation, item.Priority = c.accept.Organisation, r.priority(c.accept)
 	return item, err
 }
 
-// urgent returns the rank of a job's items: its organisation's, or else its route's.
-func (r *Runner) urgent(accept jobs.Accept) int {
+// priority returns the priority of a job's items: its organisation's, or else its route's.
+func (r *Runner) priority(accept jobs.Accept) int {
 	table := r.Routes()
 	if table == nil {
 		return 0
@@ -90,53 +90,54 @@
 	return table.Organisations.Priority(accept.Organisation, route.Priority)
 }
 
-// generate has an engine make the rest of the text.
-func (r *Runner) generate(ctx context.Context, item work.Item, made *progress, meter *meter) error {
-	engine, ok := r.member(made.claim)
+// generate has the claimed engine make the rest of the text. It returns nil at the
+// regular end of the answer.
+func (r *Runner) generate(ctx context.Context, item work.Item, prog *progress, meter *meter) error {
+	engine, ok := r.engineOf(prog.claim)
 	if !ok || engine.State == fleet.Leaving || r.Fleet.MarkedLeaving(engine.Name) {
 		return fault.New("batch.generate", NotRun, "the engine has left, or is leaving")
 	}
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := r.Clock.AfterFunc(r.silenceTerm(made.claim, engine), func() { cancel(context.DeadlineExceeded) })
+	silence := r.Clock.AfterFunc(r.silenceTimeout(prog.claim, engine), func() { cancel(context.DeadlineExceeded) })
 	defer silence.Stop()
-	events, err := r.Engines.Run(runCtx, engine, item, made.events)
+	events, err := r.Engines.Run(runCtx, engine, item, prog.events)
 	if err != nil {
-		return silent(runCtx, err)
+		return silentError(runCtx, err)
 	}
 	defer events.Close()
-	meter.shares = events.Shares()
+	meter.sharesMachine = events.SharesMachine()
 	for {
 		event, more, err := events.Next()
 		if err != nil {
-			return silent(runCtx, err)
+			return silentError(runCtx, err)
 		}
 		if !more {
 			return nil
 		}
-		if err := allowed(made, event); err != nil {
+		if err := checkEvent(prog, event); err != nil {
 			return err
 		}
-		made.add(event)
-		meter.note()
-		silence.Reset(gapTerm.Duration())
-		made.keepSome(ctx)
-		if meter.due() && r.better(made.claim, made.events, meter) {
+		prog.add(event)
+		meter.recordEvent()
+		silence.Reset(eventGapTimeout.Duration())
+		prog.saveIfDue(ctx)
+		if meter.comparisonDue() && r.shouldMove(prog.claim, prog.events, meter) {
 			return fault.New("batch.generate", Slow, fmt.Sprintf("%.0f ms an event", meter.pace()))
 		}
 	}
 }
 
-// silent returns the error of a run, which is Silent if the engine was waited for in vain.
-func silent(runCtx context.Context, err error) error {
+// silentError returns err, as kind Silent if a timeout for an event ended the run.
+func silentError(runCtx context.Context, err error) error {
 	if errors.Is(context.Cause(runCtx), context.DeadlineExceeded) {
 		return fault.Wrap("batch.generate", Silent, err, "no event in time")
 	}
 	return err
 }
 
-// silenceTerm returns how long an engine may take to the first event of an item.
-func (r *Runner) silenceTerm(c claimed, engine fleet.Member) clock.Millis {
+// silenceTimeout returns how long an engine may take to the first event of an item.
+func (r *Runner) silenceTimeout(c claimed, engine fleet.Member) clock.Millis {
 	slots := engine.Slots
 	if table := r.Routes(); slots == 0 && table != nil {
 		slots = table.Services[c.accept.Service].Slots
@@ -144,27 +145,27 @@
 	running := 0
 	r.Ledger.View(func(b *jobs.State) { running = b.Loads[c.item.Engine].Items })
 	if running > slots {
-		return queuedTerm
+		return queuedEventTimeout
 	}
-	return firstTerm
+	return firstEventTimeout
 }
 
-// allowed tells whether an event may follow what has been made.
-func allowed(made *progress, event Event) error {
-	accept := made.claim.accept
-	if event.Index != made.events+1 {
-		return fault.New("batch.generate", Broken, fmt.Sprintf("event %d after %d", event.Index, made.events))
+// checkEvent returns an error if an event may not follow the events in prog.
+func checkEvent(prog *progress, event Event) error {
+	accept := prog.claim.accept
+	if event.Index != prog.events+1 {
+		return fault.New("batch.generate", Broken, fmt.Sprintf("event %d after %d", event.Index, prog.events))
 	}
 	if event.Version < accept.MinVersion {
 		return fault.New("batch.generate", NotRun, fmt.Sprintf("the engine has version %d, the job takes %d", event.Version, accept.MinVersion))
 	}
-	if accept.SingleVersion && made.events > 0 && !slices.Contains(made.versions, event.Version) {
+	if accept.SingleVersion && prog.events > 0 && !slices.Contains(prog.versions, event.Version) {
 		return fault.New("batch.generate", Broken, "a second version in a text that takes one")
 	}
 	return nil
 }
 
-func (r *Runner) member(c claimed) (fleet.Member, bool) {
+func (r *Runner) engineOf(c claimed) (fleet.Member, bool) {
 	for _, m := range r.Fleet.View().Backends[c.accept.Service] {
 		if m.Name == string(c.item.Engine) {
 			return m, true
@@ -173,110 +174,110 @@
 	return fleet.Member{}, false
 }
 
-// broken ends a run that did not come to the end of its text: it is given up if
-// that is for good, else given back, and the others are told of the engine.
-func (r *Runner) broken(ctx context.Context, made *progress, meter *meter, err error) {
-	c := made.claim
+// handleFailure ends a run that did not reach the end of its text. It terminates the item
+// if no retry is left, and otherwise yields it. After a busy or broken engine it also
+// records that all instances avoid the engine for a while.
+func (r *Runner) handleFailure(ctx context.Context, prog *progress, meter *meter, err error) {
+	c := prog.claim
 	kind := fault.KindOf[EngineKind](err)
 	reason := string(kind) + ": " + err.Error()
-	yield := jobs.Yield{Failed: kind == Failed, Timing: meter.speed(c.item.Engine)}
+	yield := jobs.Yield{Failed: kind == Failed, Timing: meter.timing(c.item.Engine)}
 	if ctx.Err() != nil {
-		r.giveBack(ctx, made, yield, "stopped")
+		r.yieldItem(ctx, prog, yield, "stopped")
 		return
 	}
 	attempts := 1
 	if route, ok := r.Routes().FindExact(c.accept.Host, c.accept.Prefix); ok {
 		attempts = max(route.MaxAttempts, 1)
 	}
-	pause := 0
+	avoid := 0
 	switch {
 	case kind == Impossible, kind == Failed && len(c.item.FailedOn)+1 >= attempts:
 		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, fmt.Sprintf("failure %d of %d: %s", len(c.item.FailedOn)+1, attempts, reason))
 		return
 	case kind == Busy:
-		pause = avoidBusy
+		avoid = avoidBusyMillis
 	case kind != Failed && kind != Slow:
-		pause = avoidBroken
+		avoid = avoidBrokenMillis
 	}
-	if pause > 0 {
-		// The engine is told of together with the item: an append and its way back more
-		// would keep the item from its next engine for some 50 ms, and for 2 s while the
-		// log is away.
-		r.giveBack(ctx, made, yield, reason, jobs.Avoid{By: r.Self, Engine: c.item.Engine, Millis: pause})
+	if avoid > 0 {
+		// The record goes into the same append as the yield: a second append, and the
+		// wait until it is read back, would delay the item's next run.
+		r.yieldItem(ctx, prog, yield, reason, jobs.Avoid{By: r.Self, Engine: c.item.Engine, Millis: avoid})
 		return
 	}
-	r.giveBack(ctx, made, yield, reason)
+	r.yieldItem(ctx, prog, yield, reason)
 }
 
-// tell appends records and waits until they have been read back, so that this
-// instance does not act on the state before them: it would begin an item anew that
-// it has just given back.
-func (r *Runner) tell(ctx context.Context, c claimed, records ...jobs.Record) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTerm.Duration())
+// appendAndAwait appends records and waits until they are read back. Without the wait
+// this instance would act on the older state and begin an item again that it has just
+// yielded.
+func (r *Runner) appendAndAwait(ctx context.Context, c claimed, records ...jobs.Record) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTimeout.Duration())
 	defer cancel()
 	offset, err := r.Ledger.Append(ctx, records...)
 	if err == nil {
 		err = r.Ledger.Await(ctx, offset+ident.Offset(len(records)))
 	}
 	if err != nil {
-		r.note(c, trail.Hold, "not told", err.Error())
+		r.logDecision(c, trail.Hold, "not told", err.Error())
 	}
 }
 
-func (r *Runner) note(c claimed, action trail.Action, choice, reason string) {
+func (r *Runner) logDecision(c claimed, action trail.Action, choice, reason string) {
 	r.Trail.Add(trail.Decision{ID: string(c.item.ID), Action: action, Choice: choice, Reason: reason})
 }
 
-// giveBack yields an item, keeping what was made of it; before it come the given
-// records.
-func (r *Runner) giveBack(ctx context.Context, made *progress, yield jobs.Yield, reason string, before ...jobs.Record) {
-	c := made.claim
-	r.note(c, trail.Cancel, string(c.item.Engine), fmt.Sprintf("%s; %d events made", reason, made.events))
-	keepCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTerm.Duration())
+// yieldItem saves the progress of an item and yields it, with the records in before
+// ahead of the yield in the same append.
+func (r *Runner) yieldItem(ctx context.Context, prog *progress, yield jobs.Yield, reason string, before ...jobs.Record) {
+	c := prog.claim
+	r.logDecision(c, trail.Cancel, string(c.item.Engine), fmt.Sprintf("%s; %d events made", reason, prog.events))
+	saveCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), yieldTimeout.Duration())
 	defer cancel()
-	kept, err := made.keepAll(keepCtx)
+	saved, err := prog.saveAll(saveCtx)
 	if err != nil {
-		r.note(c, trail.Hold, "progress not kept", err.Error())
+		r.logDecision(c, trail.Hold, "progress not kept", err.Error())
 	}
-	yield.Job, yield.By, yield.Index, yield.Partial = c.key.Job, r.Self, c.key.Index, kept
-	r.tell(ctx, c, append(before, yield)...)
+	yield.Job, yield.By, yield.Index, yield.Partial = c.key.Job, r.Self, c.key.Index, saved
+	r.appendAndAwait(ctx, c, append(before, yield)...)
 }
 
-// complete scores a whole text, keeps it, and lists the result. It goes on when
-// the claim is replaced meanwhile: the first result counts.
-func (r *Runner) complete(ctx context.Context, item work.Item, made *progress, meter *meter) {
-	c := made.claim
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTerm.Duration())
+// complete scores and saves a complete text at the same time, then lists the result. It
+// continues if the claim is replaced meanwhile, since the first result counts.
+func (r *Runner) complete(ctx context.Context, item work.Item, prog *progress, meter *meter) {
+	c := prog.claim
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout.Duration())
 	defer cancel()
-	var kept jobs.Partial
+	var saved jobs.Partial
 	var score string
-	var keepErr, scoreErr error
+	var saveErr, scoreErr error
 	began := r.Clock.Mono()
-	var both conc.WaitGroup
-	both.Go(func() { kept, keepErr = made.keepAll(ctx) })
-	both.Go(func() { score, scoreErr = r.score(ctx, c, item) })
-	both.Wait()
+	var tasks conc.WaitGroup
+	tasks.Go(func() { saved, saveErr = prog.saveAll(ctx) })
+	tasks.Go(func() { score, scoreErr = r.score(ctx, c, item) })
+	tasks.Wait()
 	if fault.KindOf[RewardKind](scoreErr) == RewardFailed {
 		r.finish(ctx, c, jobs.Finish{Outcome: jobs.Terminated}, scoreErr.Error())
 		return
 	}
 	if fault.KindOf[RewardKind](scoreErr) == RewardHeld {
-		r.putOff(ctx, made, putOffTerm, scoreErr.Error())
+		r.deferItem(ctx, prog, maxDefer, scoreErr.Error())
 		return
 	}
-	if keepErr != nil || scoreErr != nil {
-		r.giveBack(ctx, made, jobs.Yield{}, fmt.Sprintf("text kept: %v, scored: %v", keepErr, scoreErr))
+	if saveErr != nil || scoreErr != nil {
+		r.yieldItem(ctx, prog, jobs.Yield{}, fmt.Sprintf("text kept: %v, scored: %v", saveErr, scoreErr))
 		return
 	}
-	speed := meter.speed(c.item.Engine)
+	timing := meter.timing(c.item.Engine)
 	r.finish(ctx, c, jobs.Finish{
-		Outcome: jobs.Completed, Versions: made.versions, Score: score, Texts: kept.Texts, Events: made.events, Timing: speed,
+		Outcome: jobs.Completed, Versions: prog.versions, Score: score, Texts: saved.Texts, Events: prog.events, Timing: timing,
 	}, fmt.Sprintf("%d events in %d ms, %d in all, the first after %d ms, kept and scored in %d ms",
-		speed.Events, meter.last-meter.first, made.events, meter.waited(), r.Clock.Mono()-began))
+		timing.Events, meter.lastAt-meter.firstAt, prog.events, meter.timeToFirstEvent(), r.Clock.Mono()-began))
 }
 
-// score asks for the reward until it comes, fails for good, is no longer wanted,
-// or ctx ends.
+// score calls the reward service until it answers, the call's failures reach
+// Rewards.Attempts, the call is held back, the result is no longer wanted, or ctx ends.
 func (r *Runner) score(ctx context.Context, c claimed, item work.Item) (string, error) {
 	if item.Reward == nil {
 		return "", nil
@@ -301,13 +302,13 @@
 		} else {
 			lost++
 		}
-		if !r.Clock.Sleep(ctx, rewardGap) {
+		if !r.Clock.Sleep(ctx, rewardRetryPause) {
 			return "", fault.Wrap("batch.score", RewardLost, ctx.Err(), "stopped while scoring")
 		}
 	}
 }
 
-// wanted tells whether an item may still be listed, as far as is known here.
+// wanted reports whether an item can still be listed, by the state read last.
 func (r *Runner) wanted(key jobs.ItemKey) bool {
 	wanted := false
 	r.Ledger.View(func(b *jobs.State) {
@@ -317,16 +318,16 @@
 	return wanted
 }
 
-// finish lists a result.
+// finish appends the result of an item and waits until it is read back.
 func (r *Runner) finish(ctx context.Context, c claimed, f jobs.Finish, reason string) {
 	f.Job, f.By, f.Index = c.key.Job, r.Self, c.key.Index
-	ctx, cancel := context.WithTimeout(ctx, finishTerm.Duration())
+	ctx, cancel := context.WithTimeout(ctx, finishTimeout.Duration())
 	defer cancel()
 	offset, err := r.Ledger.Append(ctx, f)
 	if err != nil {
 		reason += "; not listed: " + err.Error()
 	}
-	r.note(c, trail.Hand, string(f.Outcome), fmt.Sprintf("%s, offset %d", reason, offset))
+	r.logDecision(c, trail.Hand, string(f.Outcome), fmt.Sprintf("%s, offset %d", reason, offset))
 	if err != nil {
 		return
 	}
@@ -334,6 +335,6 @@
 		r.Counts.Listed()
 	}
 	if err := r.Ledger.Await(ctx, offset+1); err != nil {
-		r.note(c, trail.Hold, "not read back", err.Error())
+		r.logDecision(c, trail.Hold, "not read back", err.Error())
 	}
 }
--- a/croftmoor/batch/runner.go
+++ b/croftmoor/batch/runner.go
@@ -17,30 +17,32 @@
 )
 
 const (
-	// tick bounds how long a change that no record tells of goes unnoticed.
-	tick = 100 * clock.Millis(1)
-	// overbook is how many items an engine may hold beyond its slots, so that a
-	// slot that gets free has its next item at once.
+	// pollPeriod is the longest time between two looks at the state: some changes, like
+	// an engine's leaving, come without a record.
+	pollPeriod = 100 * clock.Millis(1)
+	// overbook is how many items an engine may hold beyond its slots, which gives a slot
+	// that becomes free its next item at once.
 	overbook = 1
-	// claimTerm bounds the wait for a claim's word from the log.
-	claimTerm = 3 * clock.Second
-	// loadTerm is how long an ordered load of weights keeps items away if no
-	// word of its end comes.
-	loadTerm = 2500 * clock.Millis(1)
+	// claimTimeout bounds the append of a claim and the wait until it is read back.
+	claimTimeout = 3 * clock.Second
+	// loadTimeout is how long an ordered load of weights keeps items away if its end is
+	// not reported.
+	loadTimeout = 2500 * clock.Millis(1)
 )
 
-// run is an item that this instance runs. Claim is 0 while it does so without
-// one, because the ledger can't be reached.
+// run is an item that this instance runs. Its claim is 0 if it was begun without one while
+// the ledger was unreachable.
 type run struct {
 	claim  ident.Offset
 	engine ident.BackendName
 	cancel context.CancelFunc
-	// made tells that the engine has done its part.
-	made atomic.Bool
+	// generated is set once the text is complete and only scoring and saving are left.
+	generated atomic.Bool
 }
 
-// Runner claims items for the engines that this instance acts for, and runs
-// them. Set the exported fields before Run. Its state is guarded by mu.
+// Runner claims items for engines and runs those of the engines that this instance acts
+// for. Set the exported fields, then call Setup and Run. mu guards the unexported fields
+// down to givenBack.
 type Runner struct {
 	Self    ident.InstanceName
 	Ledger  Ledger
@@ -54,68 +56,68 @@
 	// Counts and Guard may be nil.
 	Counts Counts
 	Guard  Guard
-	// Without are the mechanisms that are switched off.
+	// Without is the set of mechanisms that are switched off.
 	Without toggle.Set
 
 	mu      sync.Mutex
 	runs    map[jobs.ItemKey]*run
 	pending map[jobs.ItemKey]bool
-	// idle is since when engines that this instance acts for have had room for an
-	// item that waits, without getting one.
-	idle map[ident.BackendName]clock.Millis
-	// looked is when these were last looked for.
-	looked clock.Millis
-	// fetched are the open jobs whose bodies have been asked for.
-	fetched map[ident.Job]bool
-	actors  actors
-	starts  starts
-	// leaving tells that nothing more is claimed, given that what is claimed is
-	// given back.
-	leaving bool
-	given   bool
-	group   conc.WaitGroup
-	kick    chan struct{}
+	// idleSince is the time since which an own engine has had room for a waiting item
+	// without getting one.
+	idleSince map[ident.BackendName]clock.Millis
+	// lastIdleCheck is the time of the last check for such engines.
+	lastIdleCheck clock.Millis
+	// prefetched are the open jobs whose prefetch is scheduled or done.
+	prefetched map[ident.Job]bool
+	actors     actors
+	starts     engineStarts
+	// leaving is set once nothing more is claimed, givenBack once all runs are stopped
+	// and yielded as well.
+	leaving   bool
+	givenBack bool
+	group     conc.WaitGroup
+	wakeups   chan struct{}
 }
 
-// Setup makes the runner usable; it is called before Run.
+// Setup initialises the runner; it is called before Run.
 func (r *Runner) Setup() {
 	r.runs = map[jobs.ItemKey]*run{}
 	r.pending = map[jobs.ItemKey]bool{}
-	r.idle = map[ident.BackendName]clock.Millis{}
-	r.looked = -lookPause
-	r.fetched = map[ident.Job]bool{}
-	r.kick = make(chan struct{}, 1)
+	r.idleSince = map[ident.BackendName]clock.Millis{}
+	r.lastIdleCheck = -idleCheckPeriod
+	r.prefetched = map[ident.Job]bool{}
+	r.wakeups = make(chan struct{}, 1)
 }
 
-// Run claims and runs items until ctx ends; it returns when all runs have
-// ended.
+// Run claims and runs items until ctx ends. It returns when all runs have ended.
 func (r *Runner) Run(ctx context.Context) {
 	defer r.group.Wait()
 	for ctx.Err() == nil {
 		changed := r.Ledger.Changed()
-		r.follow(ctx)
-		r.claim(ctx)
+		r.syncRuns(ctx)
+		r.claimItems(ctx)
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-r.kick:
-		case <-r.Clock.After(tick):
+		case <-r.wakeups:
+		case <-r.Clock.After(pollPeriod):
 		}
 	}
 }
 
-// Leave has this instance claim nothing more; what it runs goes on.
+// Leave stops claiming items; runs continue.
 func (r *Runner) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// GiveBack ends what this instance still runs; others go on with it.
+// GiveBack stops claiming items and cancels all runs, which yield their items to other
+// instances.
 func (r *Runner) GiveBack() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaving, r.given = true, true
+	r.leaving, r.givenBack = true, true
 	for _, run := range r.runs {
 		run.cancel()
 	}
@@ -135,9 +137,9 @@
 	accept jobs.Accept
 }
 
-// follow starts the items that the ledger gives to this instance, and stops
-// those that it no longer does.
-func (r *Runner) follow(ctx context.Context) {
+// syncRuns starts the items that this instance has claimed, and cancels the runs whose
+// claim is gone or whose engine has restarted.
+func (r *Runner) syncRuns(ctx context.Context) {
 	mine := map[jobs.ItemKey]claimed{}
 	open := map[ident.Job]bool{}
 	r.mu.Lock()
@@ -150,39 +152,39 @@
 		}
 		r.collect(b, mine)
 	})
-	r.prefetch(ctx, open)
-	starts := r.startsListed()
+	r.schedulePrefetch(ctx, open)
+	starts := r.listedStarts()
 	for key, run := range r.runs {
 		c, ok := mine[key]
 		if ok && run.claim == 0 {
 			run.claim = c.item.Claim
 		}
-		if !ok || c.item.Claim != run.claim || (starts.after(run.engine) && !run.made.Load()) {
+		if !ok || c.item.Claim != run.claim || (starts.restarted(run.engine) && !run.generated.Load()) {
 			run.cancel()
 		}
 	}
 	for key, c := range mine {
-		if r.runs[key] == nil && !r.given {
+		if r.runs[key] == nil && !r.givenBack {
 			r.begin(ctx, c)
 		}
 	}
 }
 
-// starts are the starts of engines that a view of the fleet lists, by the names that
-// engines keep. It is worked out once a view and not each time that the ledger is
-// read, since a list may have thousands of engines; what that saves was not measured.
-type starts struct {
+// engineStarts maps an engine's ListName, which a restart keeps, to the name of the start
+// that a view of the fleet lists. It is computed once per view, which may have thousands
+// of engines.
+type engineStarts struct {
 	view   *fleet.View
 	listed map[string]ident.BackendName
 }
 
-// startsListed returns the starts that are listed now; mu is held.
-func (r *Runner) startsListed() starts {
+// listedStarts returns the starts in the current view. The caller holds mu.
+func (r *Runner) listedStarts() engineStarts {
 	view := r.Fleet.View()
 	if r.starts.view == view {
 		return r.starts
 	}
-	r.starts = starts{view: view, listed: map[string]ident.BackendName{}}
+	r.starts = engineStarts{view: view, listed: map[string]ident.BackendName{}}
 	for _, members := range view.Backends {
 		for _, m := range members {
 			name := ident.BackendName(m.Name)
@@ -192,15 +194,15 @@
 	return r.starts
 }
 
-// after tells whether another start of an engine is listed: what ran at this one is lost,
-// and its silence is not waited for.
-func (s starts) after(engine ident.BackendName) bool {
+// restarted reports whether another start of the engine is listed. What ran at the
+// earlier start is lost, and waiting for its timeout would be useless.
+func (s engineStarts) restarted(engine ident.BackendName) bool {
 	name, listed := s.listed[engine.ListName()]
 	return listed && name != engine
 }
 
-// collect adds the items that this instance has claimed, and those that it runs
-// without a claim while nobody has claimed them; mu is held.
+// collect adds to mine the items that this instance has claimed, and those that it runs
+// without a claim and nobody has claimed. The caller holds mu.
 func (r *Runner) collect(b *jobs.State, mine map[jobs.ItemKey]claimed) {
 	add := func(key jobs.ItemKey, job *jobs.Job) {
 		mine[key] = claimed{key: key, item: job.Items[key.Index], accept: job.Accept}
@@ -221,7 +223,7 @@
 	}
 }
 
-// begin starts a run; mu is held.
+// begin starts a run. The caller holds mu.
 func (r *Runner) begin(ctx context.Context, c claimed) {
 	ctx, cancel := context.WithCancel(ctx)
 	own := &run{claim: c.item.Claim, engine: c.item.Engine, cancel: cancel}
@@ -238,13 +240,14 @@
 
 func (r *Runner) wake() {
 	select {
-	case r.kick <- struct{}{}:
+	case r.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// claim makes the deal and claims this instance's part of it.
-func (r *Runner) claim(ctx context.Context) {
+// claimItems claims items in the background. While the ledger is unreachable it begins
+// items without claims instead.
+func (r *Runner) claimItems(ctx context.Context) {
 	r.mu.Lock()
 	leaving := r.leaving
 	r.mu.Unlock()
@@ -252,10 +255,10 @@
 		return
 	}
 	if !r.Ledger.Fresh() {
-		r.goOn(ctx)
+		r.beginWithoutClaims(ctx)
 		return
 	}
-	claims := append(r.late(), r.plan()...)
+	claims := append(r.lateClaims(), r.planClaims()...)
 	if len(claims) == 0 {
 		return
 	}
@@ -265,14 +268,14 @@
 			keys = append(keys, jobs.ItemKey{Job: c.Job, Index: t.Index})
 		}
 	}
-	r.mark(keys, true)
+	r.setPending(keys, true)
 	if r.Counts != nil {
 		r.Counts.Claimed(len(keys))
 	}
-	r.group.Go(func() { r.append(ctx, claims, keys) })
+	r.group.Go(func() { r.appendClaims(ctx, claims, keys) })
 }
 
-func (r *Runner) mark(keys []jobs.ItemKey, pending bool) {
+func (r *Runner) setPending(keys []jobs.ItemKey, pending bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, key := range keys {
@@ -284,12 +287,12 @@
 	}
 }
 
-// append writes claims and waits until they have been read back, so that the
-// items are not claimed once more meanwhile.
-func (r *Runner) append(ctx context.Context, claims []jobs.Claim, keys []jobs.ItemKey) {
+// appendClaims appends claims and waits until they are read back. Until then their items
+// are pending and not claimed again.
+func (r *Runner) appendClaims(ctx context.Context, claims []jobs.Claim, keys []jobs.ItemKey) {
 	defer r.wake()
-	defer r.mark(keys, false)
-	callCtx, cancel := context.WithTimeout(ctx, claimTerm.Duration())
+	defer r.setPending(keys, false)
+	callCtx, cancel := context.WithTimeout(ctx, claimTimeout.Duration())
 	defer cancel()
 	records := make([]jobs.Record, 0, len(claims))
 	for _, c := range claims {
