--- a/croftmoor/intake/intake.go
+++ b/croftmoor/intake/intake.go
@@ -40,13 +40,13 @@
 
 // Submission is a batch job as its caller hands it in.
 type Submission struct {
-	Job    ident.Job
-	Route  paths.Route
-	Step   ident.Step
-	Model  ident.Model
-	Least  ident.Version
-	Wanted int
-	Items  []work.Item
+	Job          ident.Job
+	Route        paths.Route
+	Step         ident.Step
+	Model        ident.Model
+	MinVersion   ident.Version
+	WantedGroups int
+	Items        []work.Item
 	// Organisation is whose job it is; empty if nobody's.
 	Organisation ident.Organisation
 }
@@ -104,12 +104,12 @@
 	Blobs  Blobs
 	Clock  *clock.Clock
 	Trail  Decisions
-	// Counts is told of each page; it may be nil.
-	Counts Counts
+	// Metrics is told of each page; it may be nil.
+	Metrics Metrics
 }
 
-// Counts takes what became of pages of results.
-type Counts interface {
+// Metrics takes what became of pages of results.
+type Metrics interface {
 	// PageRead counts a page: its outcome, how long its texts took, and how many it has.
 	PageRead(outcome string, took clock.Millis, texts int)
 }
@@ -140,7 +140,7 @@
 		i.note(string(s.Job), trail.Refuse, string(kind), "acceptance: "+err.Error())
 		return fault.Wrap("intake.Submit", kind, err, "job "+string(s.Job))
 	}
-	i.note(string(s.Job), trail.Grant, "accepted", fmt.Sprintf("step %d, %d items, least version %d, offset %d", s.Step, len(s.Items), s.Least, offset))
+	i.note(string(s.Job), trail.Grant, "accepted", fmt.Sprintf("step %d, %d items, least version %d, offset %d", s.Step, len(s.Items), s.MinVersion, offset))
 	return nil
 }
 
@@ -158,7 +158,7 @@
 func (i *Intake) keepBodies(ctx context.Context, s Submission) (jobs.Accept, error) {
 	accept := jobs.Accept{
 		Job: s.Job, Host: s.Route.Host, Prefix: s.Route.Prefix, Service: s.Route.Shares[0].Service, Model: s.Model,
-		Step: s.Step, MinVersion: s.Least, WantedGroups: s.Wanted, SingleVersion: s.Route.SingleVersion, Organisation: s.Organisation,
+		Step: s.Step, MinVersion: s.MinVersion, WantedGroups: s.WantedGroups, SingleVersion: s.Route.SingleVersion, Organisation: s.Organisation,
 	}
 	blobs := make([][]byte, 0, len(s.Items))
 	for _, item := range s.Items {
@@ -190,8 +190,8 @@
 	return known, nil
 }
 
-// Listed is a result as callers read it.
-type Listed struct {
+// ItemResult is a result as callers read it.
+type ItemResult struct {
 	ID       ident.Item
 	State    jobs.Outcome
 	Text     string
@@ -203,7 +203,7 @@
 type Page struct {
 	Total   int
 	Next    int
-	Results []Listed
+	Results []ItemResult
 }
 
 // Read returns the results of a job from a position on, waiting for one if
@@ -273,8 +273,8 @@
 	case err != nil:
 		outcome, action = "failed", trail.Refuse
 	}
-	if i.Counts != nil {
-		i.Counts.PageRead(outcome, took, len(page.Results))
+	if i.Metrics != nil {
+		i.Metrics.PageRead(outcome, took, len(page.Results))
 	}
 	if action == trail.Refuse || took >= slowPage {
 		reason := fmt.Sprintf("results from %d on: %d of %d texts in %d ms, ledger %d ms old", from, len(page.Results), len(results), took, i.Ledger.Age())
@@ -308,7 +308,7 @@
 		}
 		size += len(text)
 		r := results[n]
-		page.Results = append(page.Results, Listed{ID: r.id, State: r.Outcome, Text: text, Versions: r.Versions, Score: r.Score})
+		page.Results = append(page.Results, ItemResult{ID: r.id, State: r.Outcome, Text: text, Versions: r.Versions, Score: r.Score})
 		page.Next++
 	}
 	return page, nil
--- a/croftmoor/relay/relay_test.go
+++ b/croftmoor/relay/relay_test.go
@@ -87,7 +87,7 @@
 }
 
 func TestRelay(t *testing.T) {
-	page := intake.Page{Total: 3, Next: 2, Results: []intake.Listed{
+	page := intake.Page{Total: 3, Next: 2, Results: []intake.ItemResult{
 		{ID: "a", State: jobs.Completed, Text: "one\ntwo", Versions: []ident.Version{4, 5}, Score: "s"},
 		{ID: "b", State: jobs.Terminated},
 	}}
@@ -148,8 +148,8 @@
 }
 
 func TestLateFollower(t *testing.T) {
-	page := intake.Page{Total: 3, Next: 2, Results: []intake.Listed{{ID: "a"}}}
-	other := intake.Page{Total: 3, Next: 1, Results: []intake.Listed{{ID: "b"}}}
+	page := intake.Page{Total: 3, Next: 2, Results: []intake.ItemResult{{ID: "a"}}}
+	other := intake.Page{Total: 3, Next: 1, Results: []intake.ItemResult{{ID: "b"}}}
 	cases := []struct {
 		name          string
 		first, second clock.Millis
--- a/croftmoor/relay/wire.go
+++ b/croftmoor/relay/wire.go
@@ -71,9 +71,9 @@
 }
 
 func pageFromWire(w *pageWire) intake.Page {
-	p := intake.Page{Total: w.Total, Next: w.Next, Results: make([]intake.Listed, 0, len(w.Results))}
+	p := intake.Page{Total: w.Total, Next: w.Next, Results: make([]intake.ItemResult, 0, len(w.Results))}
 	for _, r := range w.Results {
-		listed := intake.Listed{ID: ident.Item(r.Item), State: jobs.Outcome(r.State), Text: r.Text, Score: r.Score}
+		listed := intake.ItemResult{ID: ident.Item(r.Item), State: jobs.Outcome(r.State), Text: r.Text, Score: r.Score}
 		for _, v := range r.Versions {
 			listed.Versions = append(listed.Versions, ident.Version(v))
 		}
