--- a/croftmoor/intake/intake.go
+++ b/croftmoor/intake/intake.go
@@ -1,6 +1,6 @@
-// Package intake answers the callers of batch jobs: it takes jobs, lists their
-// results, hands out the bodies of items, and ends jobs. What it says of a job comes
-// from the ledger.
+// Package intake serves the callers of batch jobs: it accepts jobs, returns their
+// results and the bodies of their items, and ends jobs. The state of a job comes from the
+// ledger; bodies and texts come from the blob store.
 package intake
 
 import (
@@ -23,22 +23,24 @@
 
 // Kinds of errors.
 const (
-	// NotTaken means that nothing of the request has been or will be done.
+	// NotTaken means that the request has had no effect and will have none.
 	NotTaken Kind = "NotTaken"
-	// Uncertain means that it may have been done; asking again is harmless.
+	// Uncertain means that the request may have taken effect; a retry is harmless.
 	Uncertain Kind = "Uncertain"
-	// Unknown means that there is no such job or item.
+	// Unknown means that the job or item does not exist.
 	Unknown Kind = "Unknown"
-	// Unsure means that this instance can't tell at the moment.
+	// Unsure means that this instance can't answer now: its ledger is out of date, or it
+	// can't read a blob. A retry, or another instance, may succeed.
 	Unsure Kind = "Unsure"
-	// Invalid means that the request itself is at fault.
+	// Invalid means that the request is malformed or not allowed.
 	Invalid Kind = "Invalid"
 )
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Submission is a batch job as its caller hands it in.
+// Submission is a batch job as its caller submits it. MinVersion is the oldest version of
+// the model's weights that may run its items.
 type Submission struct {
 	Job          ident.Job
 	Route        paths.Route
@@ -47,74 +49,78 @@
 	MinVersion   ident.Version
 	WantedGroups int
 	Items        []work.Item
-	// Organisation is whose job it is; empty if nobody's.
+	// Organisation owns the job; if it is empty, every caller may see the job.
 	Organisation ident.Organisation
 }
 
-// Ledger is the shared state as this package uses it.
+// Ledger is the replicated state of all jobs.
 type Ledger interface {
+	// View calls read with the current state, which read must not keep or change.
 	View(read func(*jobs.State))
+	// Changed returns a channel that is closed at the next change of the state.
 	Changed() <-chan struct{}
+	// Append writes records to the log and returns the offset of the first one.
 	Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error)
-	// Age is how long ago the state was last known to be current.
+	// Age returns the time since the state was last known to be current.
 	Age() clock.Millis
 }
 
-// Blobs keeps bodies and texts.
+// Blobs stores the bodies of items and the texts of results.
 type Blobs interface {
+	// PutBodies stores blobs and returns the span of each, in the same order.
 	PutBodies(ctx context.Context, job ident.Job, blobs [][]byte) ([]jobs.Span, error)
 	Get(ctx context.Context, span jobs.Span) ([]byte, error)
-	// Texts returns texts from the first one on: as many as are there when they have most
-	// bytes, or when the term is over; without the first it waits until ctx ends.
+	// Texts returns a prefix of texts: those that have been read once they have maxBytes
+	// bytes or the timeout is over. It waits for the first text until ctx ends.
 	Texts(ctx context.Context, texts [][]jobs.Span, maxBytes int, timeout clock.Millis) ([]string, error)
 }
 
-// Decisions takes a line for each decision.
+// Decisions is the decision log.
 type Decisions interface {
 	Add(d trail.Decision)
 }
 
 const (
-	// maxPageBytes bounds the texts of one answer in bytes; the callers' protocol
-	// allows 1 MB.
+	// maxPageBytes bounds the texts of a page; the callers' protocol allows 1 MB.
 	maxPageBytes = 900 << 10
-	// baseSubmitTimeout is how long the log may take to acknowledge a job before the
-	// caller is told that the outcome is uncertain, beside the time for its bodies at
-	// bodiesRate bytes a second: a log that is fifty times as slow as usual takes twice that.
+	// baseSubmitTimeout bounds the time to store a job without bodies, and
+	// bodyBytesPerSecond adds time for its bodies.
 	baseSubmitTimeout  = 2500 * clock.Millis(1)
 	bodyBytesPerSecond = 4 << 20
 	endTimeout         = 2500 * clock.Millis(1)
-	// maxLedgerAge is the age of the ledger beyond which this instance does not say
-	// that something is not there; the callers' protocol gives each instance 1 s to
-	// learn of it.
+	// maxLedgerAge is the age of the ledger beyond which this instance does not report
+	// that a job or a result does not exist. It must stay below 1 s, the time that the
+	// callers' protocol gives each instance to learn of a record.
 	maxLedgerAge = 600 * clock.Millis(1)
-	// partialPageTimeout is how long the texts of a page may take before what is there of them is
-	// given, and pageMost how long the first one may take. Callers wait 1.5 s beyond the time
-	// that they allow, and a page has to reach them, at times by way of another instance.
+	// partialPageTimeout is the time after which a page has only the texts that have been
+	// read, and firstTextTimeout bounds the wait for the first text. Callers wait 1.5 s longer
+	// than the wait that they ask for; the page must reach them within this time, also
+	// through another instance.
 	partialPageTimeout = 400 * clock.Millis(1)
 	firstTextTimeout   = 1200 * clock.Millis(1)
-	// slowPageThreshold is the time of a page that is worth a line: a third of what callers wait
-	// beyond the time that they allow.
+	// slowPageThreshold is the latency at which a page is written to the decision log.
 	slowPageThreshold = 500 * clock.Millis(1)
 )
 
-// Intake answers the callers of batch jobs. Set the fields before use.
+// Intake serves the callers of batch jobs. Set the fields before use.
 type Intake struct {
 	Ledger Ledger
 	Blobs  Blobs
 	Clock  *clock.Clock
 	Trail  Decisions
-	// Metrics is told of each page; it may be nil.
+	// Metrics may be nil.
 	Metrics Metrics
 }
 
-// Metrics takes what became of pages of results.
+// Metrics counts the pages of results that are read.
 type Metrics interface {
-	// PageRead counts a page: its outcome, how long its texts took, and how many it has.
+	// PageRead counts a page with the latency of its texts and their number.
 	PageRead(outcome string, latency clock.Millis, texts int)
 }
 
-// Submit makes a job durable. When it returns nil, all of the job is kept.
+// Submit stores a job. The job and its bodies are durable when Submit returns nil.
+// Submitting an accepted job again has no effect. Errors are NotTaken, Uncertain or Invalid,
+// or those of work.Encode.
 func (i *Intake) Submit(ctx context.Context, s Submission) error {
 	known, err := i.isAccepted(s.Organisation, s.Job)
 	if err != nil {
@@ -144,8 +150,8 @@
 	return nil
 }
 
-// submitTimeout returns how long a job may take to be kept. A time without regard for its size is
-// too short for the largest at each try, and what was written is written anew.
+// submitTimeout returns the time allowed for storing a job. It grows with the size of the
+// bodies: with a fixed timeout, each retry of a large job would fail and write them again.
 func submitTimeout(s Submission) clock.Millis {
 	bytes := 0
 	for _, item := range s.Items {
@@ -154,7 +160,7 @@
 	return baseSubmitTimeout + clock.Millis(bytes)*clock.Second/bodyBytesPerSecond
 }
 
-// storeBodies keeps the items and returns the acceptance that refers to them.
+// storeBodies stores the items and returns the acceptance record that refers to them.
 func (i *Intake) storeBodies(ctx context.Context, s Submission) (jobs.Accept, error) {
 	accept := jobs.Accept{
 		Job: s.Job, Host: s.Route.Host, Prefix: s.Route.Prefix, Service: s.Route.Shares[0].Service, Model: s.Model,
@@ -170,7 +176,7 @@
 	}
 	spans, err := i.Blobs.PutBodies(ctx, s.Job, blobs)
 	if err != nil {
-		// Bodies without an acceptance are never run, so this is a true refusal.
+		// Bodies without an acceptance record are never run, so nothing takes effect.
 		return accept, fault.Wrap("intake.Submit", NotTaken, err, "job "+string(s.Job))
 	}
 	for n, item := range s.Items {
@@ -179,18 +185,18 @@
 	return accept, nil
 }
 
-// isAccepted tells whether a job of the caller's organisation has been accepted; one of
-// another organisation keeps its id.
+// isAccepted reports whether a job that the organisation may see has been accepted. It
+// returns an Invalid error if the id belongs to a job that the organisation may not see.
 func (i *Intake) isAccepted(organisation ident.Organisation, job ident.Job) (bool, error) {
 	known, seen := false, false
 	i.Ledger.View(func(b *jobs.State) { known, seen = b.Jobs[job] != nil, visibleJob(b, organisation, job) != nil })
 	if known && !seen {
-		return false, fault.New("intake.Submit", Invalid, "job "+string(job)+" has an id that is taken")
+		return false, fault.New("intake.Submit", Invalid, "the id of job "+string(job)+" is already in use")
 	}
 	return known, nil
 }
 
-// ItemResult is a result as callers read it.
+// ItemResult is the result of one item, with its text.
 type ItemResult struct {
 	ID       ident.Item
 	State    jobs.Outcome
@@ -199,15 +205,17 @@
 	Score    string
 }
 
-// Page is a part of a job's results.
+// Page holds consecutive results of a job. Total is the number of the job's items, and Next
+// the position of the result after the last one of the page.
 type Page struct {
 	Total   int
 	Next    int
 	Results []ItemResult
 }
 
-// Read returns the results of a job from a position on, waiting for one if
-// there is none yet. For callers of other organisations the job does not exist.
+// Read returns the results of a job from position from on. If there are none yet, it waits
+// up to wait for one and then returns an empty page. Errors are Unknown, also if the
+// organisation may not see the job, or Unsure.
 func (i *Intake) Read(ctx context.Context, organisation ident.Organisation, job ident.Job, from int, wait clock.Millis) (Page, error) {
 	deadline := i.Clock.Mono() + wait
 	for {
@@ -219,13 +227,13 @@
 		remaining := deadline - i.Clock.Mono()
 		if len(results) > 0 || remaining <= 0 || from >= total {
 			if age := i.Ledger.Age(); len(results) == 0 && from < total && age > maxLedgerAge {
-				return Page{}, fault.New("intake.Read", Unsure, fmt.Sprintf("job %s from %d on; the ledger was last current %d ms ago", job, from, age))
+				return Page{}, fault.New("intake.Read", Unsure, fmt.Sprintf("job %s has no results from position %d on in the ledger, which was last current %d ms ago", job, from, age))
 			}
 			return i.readPage(ctx, job, from, total, results)
 		}
 		select {
 		case <-ctx.Done():
-			return Page{}, fault.Wrap("intake.Read", Unsure, ctx.Err(), "the caller left")
+			return Page{}, fault.Wrap("intake.Read", Unsure, ctx.Err(), "the caller canceled the read")
 		case <-changed:
 		case <-i.Clock.After(remaining):
 		}
@@ -238,7 +246,7 @@
 	jobs.Result
 }
 
-// visibleJob returns a job if callers of an organisation may see it.
+// visibleJob returns a job, or nil if the organisation may not see it or it does not exist.
 func visibleJob(state *jobs.State, organisation ident.Organisation, job ident.Job) *jobs.Job {
 	if j := state.Jobs[job]; j != nil && access.Allows(organisation, j.Organisation) {
 		return j
@@ -246,6 +254,8 @@
 	return nil
 }
 
+// resultsFrom returns the results from position from on and the number of the job's items;
+// known is false if the organisation sees no such job.
 func (i *Intake) resultsFrom(organisation ident.Organisation, job ident.Job, from int) (results []identifiedResult, total int, known bool) {
 	i.Ledger.View(func(b *jobs.State) {
 		j := visibleJob(b, organisation, job)
@@ -260,8 +270,8 @@
 	return results, total, known
 }
 
-// readPage returns a page, and leaves a line on one that fails or takes long: whoever
-// waits for it may have left by then.
+// readPage builds a page, counts it, and logs a decision if it fails or is slow: the caller
+// may have left by then, and the error would reach nobody.
 func (i *Intake) readPage(ctx context.Context, job ident.Job, from, total int, results []identifiedResult) (Page, error) {
 	start := i.Clock.Mono()
 	page, err := i.buildPage(ctx, from, total, results)
@@ -286,6 +296,8 @@
 	return page, err
 }
 
+// buildPage returns the results whose texts can be read in time, up to maxPageBytes and at
+// least one. It returns an error if the text of the first one can't be read.
 func (i *Intake) buildPage(ctx context.Context, from, total int, results []identifiedResult) (Page, error) {
 	page := Page{Total: total, Next: max(from, 0)}
 	if len(results) == 0 {
@@ -314,15 +326,17 @@
 	return page, nil
 }
 
-// notFoundError tells an unknown job from one that this instance may not know yet.
+// notFoundError returns an Unsure error if the ledger is too old to rule out that the job
+// exists, otherwise an Unknown one.
 func (i *Intake) notFoundError(op string, job ident.Job) error {
 	if i.Ledger.Age() > maxLedgerAge {
-		return fault.New(op, Unsure, fmt.Sprintf("job %s; the ledger was last read %d ms ago", job, i.Ledger.Age()))
+		return fault.New(op, Unsure, fmt.Sprintf("job %s is not in the ledger, which was last current %d ms ago", job, i.Ledger.Age()))
 	}
-	return fault.New(op, Unknown, "no job "+string(job))
+	return fault.New(op, Unknown, "job "+string(job)+" does not exist")
 }
 
-// Body returns the body of an item.
+// Body returns the body of an item. Errors are Unknown, also if the organisation may not
+// see the job, or Unsure, or those of work.Decode.
 func (i *Intake) Body(ctx context.Context, organisation ident.Organisation, job ident.Job, itemID ident.Item) ([]byte, error) {
 	var span jobs.Span
 	known, found := false, false
@@ -343,17 +357,18 @@
 		return nil, i.notFoundError("intake.Body", job)
 	}
 	if !found {
-		return nil, fault.New("intake.Body", Unknown, "no item "+string(itemID)+" in job "+string(job))
+		return nil, fault.New("intake.Body", Unknown, "job "+string(job)+" has no item "+string(itemID))
 	}
 	data, err := i.Blobs.Get(ctx, span)
 	if err != nil {
-		return nil, fault.Wrap("intake.Body", Unsure, err, "the body of item "+string(itemID))
+		return nil, fault.Wrap("intake.Body", Unsure, err, "reading the body of item "+string(itemID))
 	}
 	item, err := work.Decode(data)
 	return item.Body, err
 }
 
-// End closes a job.
+// End ends a job. Ending an ended job has no effect. Errors are Unknown, also if the
+// organisation may not see the job, Unsure or Uncertain.
 func (i *Intake) End(ctx context.Context, organisation ident.Organisation, job ident.Job) error {
 	ended := false
 	known := false
