--- a/croftmoor/intake/intake_test.go
+++ b/croftmoor/intake/intake_test.go
@@ -11,17 +11,17 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// agedLedger is in arrears.
-type agedLedger struct {
-	book *jobs.State
-	age  clock.Millis
+// staleLedger is a ledger whose state was last current age ago.
+type staleLedger struct {
+	state *jobs.State
+	age   clock.Millis
 }
 
-func (l agedLedger) View(look func(*jobs.State)) { look(l.book) }
-func (l agedLedger) Changed() <-chan struct{}    { return nil }
-func (l agedLedger) Age() clock.Millis           { return l.age }
-func (l agedLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
-	return l.book.Next, nil
+func (l staleLedger) View(look func(*jobs.State)) { look(l.state) }
+func (l staleLedger) Changed() <-chan struct{}    { return nil }
+func (l staleLedger) Age() clock.Millis           { return l.age }
+func (l staleLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
+	return l.state.Next, nil
 }
 
 type noDecisions struct{}
@@ -30,8 +30,8 @@
 
 func TestReadInArrears(t *testing.T) {
 	c := clock.New()
-	book := jobs.NewState()
-	book.Apply(1, jobs.Accept{Job: "j", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
+	state := jobs.NewState()
+	state.Apply(1, jobs.Accept{Job: "j", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
 	cases := []struct {
 		name string
 		job  ident.Job
@@ -45,7 +45,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			i := &Intake{Ledger: agedLedger{book, tc.age}, Clock: c, Trail: noDecisions{}}
+			i := &Intake{Ledger: staleLedger{state, tc.age}, Clock: c, Trail: noDecisions{}}
 			_, err := i.Read(t.Context(), "", tc.job, 0, 0)
 			if got := fault.KindOf[Kind](err); got != tc.want {
 				t.Errorf("kind %q (%v), want %q", got, err, tc.want)
@@ -55,10 +55,10 @@
 }
 
 func TestJobsOfOthers(t *testing.T) {
-	book := jobs.NewState()
-	book.Apply(1, jobs.Accept{Job: "theirs", Organisation: "shops", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
-	book.Apply(2, jobs.Accept{Job: "anybody's", Items: []jobs.ItemSpec{{ID: "b"}}}, 0)
-	i := &Intake{Ledger: agedLedger{book, 0}, Clock: clock.New(), Trail: noDecisions{}}
+	state := jobs.NewState()
+	state.Apply(1, jobs.Accept{Job: "theirs", Organisation: "shops", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
+	state.Apply(2, jobs.Accept{Job: "anybody's", Items: []jobs.ItemSpec{{ID: "b"}}}, 0)
+	i := &Intake{Ledger: staleLedger{state, 0}, Clock: clock.New(), Trail: noDecisions{}}
 	cases := []struct {
 		name string
 		by   ident.Organisation
@@ -82,7 +82,7 @@
 			if tc.want == Unknown {
 				_, err := i.Body(t.Context(), tc.by, tc.job, "a")
 				if got := fault.KindOf[Kind](err); got != Unknown {
-					t.Errorf("its body: kind %q, want %q", got, Unknown)
+					t.Errorf("Body: kind %q (%v), want %q", got, err, Unknown)
 				}
 			}
 		})
@@ -95,47 +95,47 @@
 	})
 }
 
-// lines keeps decisions.
-type lines struct{ all []trail.Decision }
+// recordedDecisions is a decision log in memory.
+type recordedDecisions struct{ all []trail.Decision }
 
-func (l *lines) Add(d trail.Decision) { l.all = append(l.all, d) }
+func (l *recordedDecisions) Add(d trail.Decision) { l.all = append(l.all, d) }
 
-// noBlobs gives no text.
-type noBlobs struct{ err error }
+// failingBlobs returns err from each call.
+type failingBlobs struct{ err error }
 
-func (b noBlobs) PutBodies(context.Context, ident.Job, [][]byte) ([]jobs.Span, error) {
+func (b failingBlobs) PutBodies(context.Context, ident.Job, [][]byte) ([]jobs.Span, error) {
 	return nil, b.err
 }
-func (b noBlobs) Get(context.Context, jobs.Span) ([]byte, error) { return nil, b.err }
-func (b noBlobs) Texts(context.Context, [][]jobs.Span, int, clock.Millis) ([]string, error) {
+func (b failingBlobs) Get(context.Context, jobs.Span) ([]byte, error) { return nil, b.err }
+func (b failingBlobs) Texts(context.Context, [][]jobs.Span, int, clock.Millis) ([]string, error) {
 	return nil, b.err
 }
 
 func TestPageThatFailsIsTold(t *testing.T) {
-	book := jobs.NewState()
-	book.Apply(1, jobs.Accept{Job: "j", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
-	book.Apply(2, jobs.Claim{Job: "j", By: "me", Targets: []jobs.Target{{Index: 0}}}, 0)
-	book.Apply(3, jobs.Finish{Job: "j", By: "me", Index: 0, Outcome: jobs.Completed, Texts: []jobs.Span{{Stream: "texts.0", First: 7, Count: 1}}}, 0)
-	left, leave := context.WithCancel(t.Context())
-	leave()
+	state := jobs.NewState()
+	state.Apply(1, jobs.Accept{Job: "j", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
+	state.Apply(2, jobs.Claim{Job: "j", By: "me", Targets: []jobs.Target{{Index: 0}}}, 0)
+	state.Apply(3, jobs.Finish{Job: "j", By: "me", Index: 0, Outcome: jobs.Completed, Texts: []jobs.Span{{Stream: "texts.0", First: 7, Count: 1}}}, 0)
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
 	cases := []struct {
 		name string
 		ctx  context.Context
 		want string
 	}{
 		{"the log gave no text", t.Context(), "page failed"},
-		{"the caller left", left, "page caller left"},
+		{"the caller left", canceled, "page caller left"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			told := &lines{}
-			i := &Intake{Ledger: agedLedger{book, 40}, Blobs: noBlobs{context.Canceled}, Clock: clock.New(), Trail: told}
+			decisions := &recordedDecisions{}
+			i := &Intake{Ledger: staleLedger{state, 40}, Blobs: failingBlobs{context.Canceled}, Clock: clock.New(), Trail: decisions}
 			_, err := i.Read(tc.ctx, "", "j", 0, 0)
 			if fault.KindOf[Kind](err) != Unsure {
 				t.Errorf("error %v, want Unsure", err)
 			}
-			if len(told.all) != 1 || told.all[0].ID != "j" || told.all[0].Choice != tc.want {
-				t.Errorf("lines %+v, want one of job j: %s", told.all, tc.want)
+			if len(decisions.all) != 1 || decisions.all[0].ID != "j" || decisions.all[0].Choice != tc.want {
+				t.Errorf("decisions %+v, want one for job j with choice %q", decisions.all, tc.want)
 			}
 		})
 	}
--- a/croftmoor/intake/submit_test.go
+++ b/croftmoor/intake/submit_test.go
@@ -11,11 +11,10 @@
 	"croftmoor.dev/kernel/paths"
 )
 
-// slowBodies takes bodies at a rate.
+// slowBodies stores bodies at bytesPerSecond.
 type slowBodies struct {
-	noBlobs
-	clock *clock.Clock
-	// bytesPerSecond is the rate.
+	failingBlobs
+	clock          *clock.Clock
 	bytesPerSecond int
 }
 
@@ -30,8 +29,8 @@
 	return make([]jobs.Span, len(bodies)), nil
 }
 
-// A large job whose bodies take longer to keep than a small one's acceptance may take was
-// never accepted: the time for it had no regard for its size, and each try began anew.
+// The submit timeout must grow with the size of the bodies; otherwise a large job is never
+// accepted, because each retry starts again.
 func TestLargeJobIsTaken(t *testing.T) {
 	const (
 		megabyte = 1 << 20
@@ -43,7 +42,7 @@
 		submission.Items = append(submission.Items, work.Item{ID: "a", Body: make([]byte, megabyte)})
 	}
 	i := &Intake{
-		Ledger: agedLedger{jobs.NewState(), 0}, Clock: c, Trail: noDecisions{},
+		Ledger: staleLedger{jobs.NewState(), 0}, Clock: c, Trail: noDecisions{},
 		Blobs: slowBodies{clock: c, bytesPerSecond: 8 * megabyte},
 	}
 	if err := i.Submit(t.Context(), submission); err != nil {
