--- a/croftmoor/feed/book.go
+++ b/croftmoor/feed/book.go
@@ -28,7 +28,7 @@
 	runningAttempts int
 	// latestStep is the latest step that was opened on this instance.
 	latestStep ident.Step
-	// dispatching is true once the dispatcher has been started.
+	// dispatching is true once dispatch has been started.
 	dispatching bool
 }
 
--- a/croftmoor/intake/intake.go
+++ b/croftmoor/intake/intake.go
@@ -112,7 +112,7 @@
 	Metrics Metrics
 }
 
-// Metrics counts the pages of results that are read.
+// Metrics counts the reads of pages.
 type Metrics interface {
 	// PageRead counts a page with the latency of its texts and their number.
 	PageRead(outcome string, latency clock.Millis, texts int)
@@ -207,8 +207,8 @@
 	Score    string
 }
 
-// Page holds consecutive results of a job. Total is the number of the job's items, and Next
-// the position of the result after the last one of the page.
+// Page holds consecutive results of a job. Total is the number of the job's items, Next is
+// the position from which to read the next page.
 type Page struct {
 	Total   int
 	Next    int
@@ -299,7 +299,7 @@
 }
 
 // buildPage returns the results whose texts can be read in time, up to maxPageBytes and at
-// least one. It returns an error if the text of the first one can't be read.
+// least one. It returns an Unsure error if the text of the first one can't be read.
 func (i *Intake) buildPage(ctx context.Context, from, total int, results []identifiedResult) (Page, error) {
 	page := Page{Total: total, Next: max(from, 0)}
 	if len(results) == 0 {
@@ -334,7 +334,7 @@
 	if i.Ledger.Age() > maxLedgerAge {
 		return fault.New(op, Unsure, fmt.Sprintf("job %s is not in the ledger, which was last current %d ms ago", job, i.Ledger.Age()))
 	}
-	return fault.New(op, Unknown, "job "+string(job)+" does not exist")
+	return fault.New(op, Unknown, "unknown job "+string(job))
 }
 
 // Body returns the body of an item. Errors are Unknown, also if the organisation may not
--- a/croftmoor/intake/intake_test.go
+++ b/croftmoor/intake/intake_test.go
@@ -82,7 +82,7 @@
 			if tc.want == Unknown {
 				_, err := i.Body(t.Context(), tc.by, tc.job, "a")
 				if got := fault.KindOf[Kind](err); got != Unknown {
-					t.Errorf("Body: kind %q (%v), want %q", got, err, Unknown)
+					t.Errorf("Body: kind %q, want %q", got, Unknown)
 				}
 			}
 		})
