--- a/croftmoor/feed/feed.go
+++ b/croftmoor/feed/feed.go
@@ -3,8 +3,8 @@
 //
 // The owner of a trainer's steps is the live instance that ranks first for the
 // trainer. Ownership only avoids duplicate work. Two owners at once, as during a
-// network partition, waste tokens but hand over no slot twice, because each pull
-// names the slots that the trainer holds (see kernel/steps).
+// network partition, waste tokens but are otherwise harmless: each pull names the
+// slots that the trainer holds, and these are not handed over again (see kernel/steps).
 package feed
 
 import (
@@ -170,7 +170,7 @@
 }
 
 // ownerCallError turns an unknown outcome of a call to an owner into a NotRun refusal,
-// which the trainer retries. A retry is safe, because no slot is handed over twice.
+// which the trainer may retry: a slot that it holds is not handed over again.
 // Other errors are returned unchanged.
 func (f *Feed) ownerCallError(ctx context.Context, owner ident.InstanceName, err error) error {
 	if err == nil || refuse.Of(err).Kind != refuse.OutcomeUnknown {
