--- a/croftmoor/feed/book.go
+++ b/croftmoor/feed/book.go
@@ -26,8 +26,9 @@
 	steps           map[ident.Step]*step
 	newestVersion   ident.Version
 	runningAttempts int
-	// latestStep is the latest step that was opened on this instance.
-	latestStep ident.Step
+	// lastOpened is the step that was opened last on this instance. A step that another
+	// instance transfers is opened only if it is later.
+	lastOpened ident.Step
 	// dispatching is true once dispatch has been started.
 	dispatching bool
 }
@@ -60,11 +61,11 @@
 		s.importSamples(open.Ready)
 		return
 	}
-	if open.HandedOn && number <= ts.latestStep {
+	if open.HandedOn && number <= ts.lastOpened {
 		// The trainer has opened a later step on this instance; the previous owner is behind.
 		return
 	}
-	ts.latestStep = number
+	ts.lastOpened = number
 	ts.closeOld(number)
 	f := ts.feed
 	ctx, cancel := context.WithCancel(f.ctx)
@@ -196,8 +197,8 @@
 }
 
 // transferUnlessOwner transfers the steps if another instance has been their owner for
-// longer than transferDelay. It takes and returns the time at which this instance last was
-// the owner; a transfer restarts the delay.
+// longer than transferDelay. It returns the new lastOwned, the time since which another
+// instance has been the owner; draining and a transfer reset it to now.
 func (ts *trainerSteps) transferUnlessOwner(lastOwned, now clock.Millis) clock.Millis {
 	f := ts.feed
 	owner := f.owner(ts.trainer)
@@ -228,7 +229,8 @@
 	return nil, 0
 }
 
-// startAttempt starts one attempt. It returns false if none can start now.
+// startAttempt starts one attempt. It returns false if none can start now. Pick counts the
+// attempt at the server, so an attempt that does not start must be released there.
 func (ts *trainerSteps) startAttempt() bool {
 	f := ts.feed
 	s, stepsBefore := ts.nextStep()
--- a/croftmoor/feed/feed.go
+++ b/croftmoor/feed/feed.go
@@ -65,6 +65,7 @@
 }
 
 const (
+	// maxSlots is the maximum number of samples of a step.
 	maxSlots         = 1 << 16
 	maxOpenSteps     = 3
 	maxPullWait      = 20 * clock.Second
@@ -96,9 +97,9 @@
 	}
 }
 
-// transferSteps closes a trainer's steps on this instance and opens them at owner, unless
-// that is this instance. If a call fails, the step's ready samples are lost, and the trainer
-// opens it again.
+// transferSteps closes a trainer's steps on this instance and opens them at owner. If the
+// call fails, or owner is this instance, the ready samples are lost, and the trainer must
+// open the step again.
 func (f *Feed) transferSteps(ctx context.Context, ts *trainerSteps, owner ident.InstanceName) {
 	for _, open := range ts.exportAll() {
 		if owner != f.Self {
@@ -179,7 +180,7 @@
 	if ctx.Err() == nil {
 		f.Health.Suspect(owner)
 	}
-	refusal := refuse.After("feed", refuse.NotRun, "the instance that owns the trainer's steps did not answer", retryAfter)
+	refusal := refuse.After("feed", refuse.NotRun, "the instance that owns the trainer's steps gave no answer", retryAfter)
 	refusal.Err = err
 	return refusal
 }
--- a/croftmoor/feed/try.go
+++ b/croftmoor/feed/try.go
@@ -47,8 +47,8 @@
 	return fmt.Sprintf("%s/%d.%d", stepID(a.parent.trainer, a.step.tracker.Spec.Step), a.attempt.Slot, a.attempt.Number)
 }
 
-// run generates and grades the sample, and puts it into its slot or makes the slot missing
-// again.
+// run generates and grades the sample and puts it into its slot. After an error, the slot is
+// missing again. A sample that is obsolete or too stale is dropped.
 func (a *sampleAttempt) run(ctx context.Context) {
 	ts := a.parent
 	sample, err := a.generate(ctx)
@@ -100,8 +100,8 @@
 }
 
 // moveTarget returns the server on which the rest of the sample is expected to finish
-// sooner, or nil. Lengths are long-tailed, so an answer that is longer than estimated
-// is taken to be half done.
+// sooner, or nil. Samples move only while no slot of the step is missing. Lengths are
+// long-tailed, so an answer that is longer than estimated is taken to be half done.
 func (a *sampleAttempt) moveTarget(standing gener.Standing) *pool.Server {
 	ts := a.parent
 	ts.mu.Lock()
--- a/croftmoor/intake/intake.go
+++ b/croftmoor/intake/intake.go
@@ -81,7 +81,8 @@
 }
 
 const (
-	// maxPageBytes bounds the texts of a page; the callers' protocol allows 1 MB.
+	// maxPageBytes bounds the texts of a page, unless its first text alone is longer; the
+	// callers' protocol allows 1 MB.
 	maxPageBytes = 900 << 10
 	// baseSubmitTimeout bounds the time to store a job without bodies, and
 	// bodyBytesPerSecond adds time for its bodies.
@@ -188,11 +189,11 @@
 // isAccepted reports whether a job that the organisation may see has been accepted. It
 // returns an Invalid error if the id belongs to a job that the organisation may not see.
 func (i *Intake) isAccepted(organisation ident.Organisation, job ident.Job) (bool, error) {
-	known, seen := false, false
+	known, visible := false, false
 	i.Ledger.View(func(state *jobs.State) {
-		known, seen = state.Jobs[job] != nil, visibleJob(state, organisation, job) != nil
+		known, visible = state.Jobs[job] != nil, visibleJob(state, organisation, job) != nil
 	})
-	if known && !seen {
+	if known && !visible {
 		return false, fault.New("intake.Submit", Invalid, "the id of job "+string(job)+" is already in use")
 	}
 	return known, nil
--- a/croftmoor/intake/intake_test.go
+++ b/croftmoor/intake/intake_test.go
@@ -11,16 +11,16 @@
 	"croftmoor.dev/kernel/trail"
 )
 
-// staleLedger is a ledger whose state was last current age ago.
-type staleLedger struct {
+// fakeLedger is a ledger with a fixed state, last current age ago.
+type fakeLedger struct {
 	state *jobs.State
 	age   clock.Millis
 }
 
-func (l staleLedger) View(look func(*jobs.State)) { look(l.state) }
-func (l staleLedger) Changed() <-chan struct{}    { return nil }
-func (l staleLedger) Age() clock.Millis           { return l.age }
-func (l staleLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
+func (l fakeLedger) View(look func(*jobs.State)) { look(l.state) }
+func (l fakeLedger) Changed() <-chan struct{}    { return nil }
+func (l fakeLedger) Age() clock.Millis           { return l.age }
+func (l fakeLedger) Append(context.Context, ...jobs.Record) (ident.Offset, error) {
 	return l.state.Next, nil
 }
 
@@ -45,7 +45,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			i := &Intake{Ledger: staleLedger{state, tc.age}, Clock: c, Trail: noDecisions{}}
+			i := &Intake{Ledger: fakeLedger{state, tc.age}, Clock: c, Trail: noDecisions{}}
 			_, err := i.Read(t.Context(), "", tc.job, 0, 0)
 			if got := fault.KindOf[Kind](err); got != tc.want {
 				t.Errorf("kind %q (%v), want %q", got, err, tc.want)
@@ -58,7 +58,7 @@
 	state := jobs.NewState()
 	state.Apply(1, jobs.Accept{Job: "theirs", Organisation: "shops", Items: []jobs.ItemSpec{{ID: "a"}}}, 0)
 	state.Apply(2, jobs.Accept{Job: "anybody's", Items: []jobs.ItemSpec{{ID: "b"}}}, 0)
-	i := &Intake{Ledger: staleLedger{state, 0}, Clock: clock.New(), Trail: noDecisions{}}
+	i := &Intake{Ledger: fakeLedger{state, 0}, Clock: clock.New(), Trail: noDecisions{}}
 	cases := []struct {
 		name string
 		by   ident.Organisation
@@ -129,7 +129,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			decisions := &recordedDecisions{}
-			i := &Intake{Ledger: staleLedger{state, 40}, Blobs: failingBlobs{context.Canceled}, Clock: clock.New(), Trail: decisions}
+			i := &Intake{Ledger: fakeLedger{state, 40}, Blobs: failingBlobs{context.Canceled}, Clock: clock.New(), Trail: decisions}
 			_, err := i.Read(tc.ctx, "", "j", 0, 0)
 			if fault.KindOf[Kind](err) != Unsure {
 				t.Errorf("error %v, want Unsure", err)
--- a/croftmoor/intake/page_test.go
+++ b/croftmoor/intake/page_test.go
@@ -102,7 +102,7 @@
 // newInstance returns an instance with an empty cache.
 func newInstance(state *jobs.State, log *slowLog) *Intake {
 	return &Intake{
-		Ledger: staleLedger{state, 0}, Blobs: &blobs.Store{Reader: log, Clock: log.clock, CacheBytes: 4 << 20}, Clock: log.clock, Trail: noDecisions{},
+		Ledger: fakeLedger{state, 0}, Blobs: &blobs.Store{Reader: log, Clock: log.clock, CacheBytes: 4 << 20}, Clock: log.clock, Trail: noDecisions{},
 	}
 }
 
--- a/croftmoor/intake/submit_test.go
+++ b/croftmoor/intake/submit_test.go
@@ -42,7 +42,7 @@
 		submission.Items = append(submission.Items, work.Item{ID: "a", Body: make([]byte, megabyte)})
 	}
 	i := &Intake{
-		Ledger: staleLedger{jobs.NewState(), 0}, Clock: c, Trail: noDecisions{},
+		Ledger: fakeLedger{jobs.NewState(), 0}, Clock: c, Trail: noDecisions{},
 		Blobs: slowBodies{clock: c, bytesPerSecond: 8 * megabyte},
 	}
 	if err := i.Submit(t.Context(), submission); err != nil {
