--- a/croftmoor/pool/follow.go
+++ b/croftmoor/pool/follow.go
@@ -70,8 +70,9 @@
 	p.endRestarted(old, fresh)
 }
 
-// endRestarted ends the lifetime of servers that have restarted. Their requests are lost,
-// and callers would otherwise wait for answers until a timeout.
+// endRestarted ends the lifetime of servers that have restarted: fresh has another start under
+// the same ListName. Their requests are lost, and callers would otherwise wait for answers
+// until a timeout.
 func (p *Pool) endRestarted(old, fresh []*Server) {
 	current := make(map[string]*Server, len(fresh))
 	for _, server := range fresh {
--- a/croftmoor/pool/pool.go
+++ b/croftmoor/pool/pool.go
@@ -68,7 +68,8 @@
 	// speed is the estimated rate of a sequence that runs alone, in tokens per second.
 	speed    float64
 	observed map[ident.Trainer]versionObservation
-	// lifetime is cancelled when the server has restarted, under another name.
+	// lifetime is cancelled when the server has restarted. Each start of a server has its own
+	// Name, and with it its own Server; ListName is the same for all starts.
 	lifetime    context.Context
 	endLifetime context.CancelFunc
 }
@@ -182,8 +183,8 @@
 	}
 }
 
-// ObservedVersion is a weights version that a server reported in a stream and that its load
-// report contradicts.
+// ObservedVersion is a weights version that a server reported in a stream although its load
+// report has a newer one.
 type ObservedVersion struct {
 	Service ident.Service
 	Server  ident.BackendName
@@ -192,9 +193,9 @@
 }
 
 // Note records a version that another instance observed.
-func (p *Pool) Note(s ObservedVersion) {
-	if server := find(p.Servers(s.Service), s.Server); server != nil {
-		server.RecordVersion(s.Trainer, s.Version, p.Clock.Mono())
+func (p *Pool) Note(observed ObservedVersion) {
+	if server := find(p.Servers(observed.Service), observed.Server); server != nil {
+		server.RecordVersion(observed.Trainer, observed.Version, p.Clock.Mono())
 	}
 }
 
@@ -206,8 +207,8 @@
 	Family string
 	// Exclude lists servers that must not be picked.
 	Exclude []ident.BackendName
-	// MinVersion excludes servers whose estimated version of Trainer's weights is lower; 0
-	// is no limit.
+	// Trainer and MinVersion exclude servers whose estimated version of the trainer's weights is
+	// lower than MinVersion; 0 is no limit.
 	Trainer    ident.Trainer
 	MinVersion ident.Version
 	// MaxLoad excludes servers whose estimated load is at least this; 0 is no limit.
--- a/croftmoor/pool/server.go
+++ b/croftmoor/pool/server.go
@@ -176,9 +176,9 @@
 	}
 }
 
-// RecordVersion records the version that the server reported in a stream. It takes
-// precedence over load reports, which can be late or wrong. It returns true if the load
-// report has a newer version, at most once per second and trainer.
+// RecordVersion records the version that the server reported in a stream. Load reports can be
+// late or wrong, so it takes precedence over a report that is at most observedGrace newer. It
+// returns true if the load report has a newer version, at most once per second and trainer.
 func (s *Server) RecordVersion(trainer ident.Trainer, version ident.Version, now clock.Millis) (mismatch bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/croftmoor/proxy/ended.go
+++ b/croftmoor/proxy/ended.go
@@ -52,9 +52,9 @@
 }
 
 // detectServerExit checks whether a server exited while it ran a call that got no answer, and
-// reports it to the guard and the metrics. The sign is that its address refuses connections,
-// which is not so after a lost answer, a network partition or a timeout. A server that is
-// listed as leaving is ignored.
+// reports it to the guard and the metrics. A server has exited if its address refuses
+// connections; after a lost answer, a network partition or a timeout it does not refuse them.
+// A server that is listed as leaving is ignored.
 func (p *Proxy) detectServerExit(ctx context.Context, r *Request, s *callState, server *pool.Server, elapsed clock.Millis) {
 	if ctx.Err() != nil || server.Leaving() || !p.Client.ConnectionRefused(ctx, server.Address()) {
 		return
--- a/croftmoor/proxy/proxy.go
+++ b/croftmoor/proxy/proxy.go
@@ -119,9 +119,9 @@
 // minTimeToSend is the minimum time to the deadline for a call to be sent to a server.
 const minTimeToSend = 5 * clock.Millis(1)
 
-// maxUnreached is how many servers that received no byte of a call are not counted among its
-// attempts. Servers that have exited stay listed for a few seconds, and without this they
-// would use up the attempts of a call. More of them mean that the service is down.
+// maxUnreached is the maximum number of servers per call that received no byte of it and do
+// not count as attempts. Servers that have exited stay listed for a few seconds, and would
+// otherwise use up the attempts. Beyond the maximum, the whole service is probably down.
 const maxUnreached = 4
 
 // Do sends a call and returns the whole answer of one server. Errors are of type Error.
@@ -169,9 +169,9 @@
 	attempts  int
 	unreached int
 	tried     []ident.BackendName
-	// mayHaveRun is true if a server may have run the call, answered if one has run it. sentAt
-	// is when the call was sent to the last server that answered it, or else to the last that
-	// may have run it, by the monotonic clock.
+	// mayHaveRun is true if a server may have run the call, answered if one has answered other
+	// than that it has not run it. sentAt is when the call was sent to the last server that
+	// answered it, or else to the last that may have run it, by the monotonic clock.
 	mayHaveRun bool
 	answered   bool
 	sentAt     clock.Millis
@@ -269,7 +269,7 @@
 	verdict := p.Protocol.Judge(answer)
 	p.recordAnswer(&r, s, verdict, began)
 	p.recordLoad(server, verdict)
-	p.observeRoom(r, s, server.Name, answer, verdict, latency)
+	p.observeCapacity(r, s, server.Name, answer, verdict, latency)
 	server.Release(p.Clock, true, latency, !verdict.NotRun && !verdict.Failed)
 	if verdict.NotRun {
 		s.lastErr = fault.New("proxy.try", NotRun, string(server.Name)+" answered "+http.StatusText(answer.Status))
--- a/croftmoor/proxy/room.go
+++ b/croftmoor/proxy/room.go
@@ -80,8 +80,8 @@
 	return !s.usesRetryBudget || !s.admitted || p.Rooms.TryAgain(s.service)
 }
 
-// observeRoom reports to Rooms what an answer says about its server's free capacity.
-func (p *Proxy) observeRoom(r Request, s *callState, server ident.BackendName, a *httpc.Answer, v Verdict, latency clock.Millis) {
+// observeCapacity reports to Rooms what an answer says about its server's load.
+func (p *Proxy) observeCapacity(r Request, s *callState, server ident.BackendName, a *httpc.Answer, v Verdict, latency clock.Millis) {
 	if !s.admitted {
 		return
 	}
--- a/croftmoor/proxy/stream.go
+++ b/croftmoor/proxy/stream.go
@@ -29,8 +29,8 @@
 const Broke Kind = "Broke"
 
 const (
-	// streamIdleTimeout is the maximum time between events of a resumable stream. It is below
-	// the 2 s after which callers give up at the earliest.
+	// streamIdleTimeout is the maximum time between events of a resumable stream. Callers wait
+	// at least 2 s, which leaves time to continue at another server.
 	streamIdleTimeout = 1 * clock.Second
 	// maxEventBytes is the maximum size of an event.
 	maxEventBytes = 1 << 20
@@ -47,29 +47,29 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, (r.Deadline - p.Clock.Mono()).Duration())
 	defer cancel()
-	f := &streamState{callState: callState{service: r.Route.Service(newRandom())}, sink: sink}
-	defer func() { p.recordUsage(r, &f.callState) }()
-	for f.hasAttempts(r.Route) && ctx.Err() == nil && !p.refuseIfHeld(&r, &f.callState) {
-		server := p.pick(r, &f.callState)
+	s := &streamState{callState: callState{service: r.Route.Service(newRandom())}, sink: sink}
+	defer func() { p.recordUsage(r, &s.callState) }()
+	for s.hasAttempts(r.Route) && ctx.Err() == nil && !p.refuseIfHeld(&r, &s.callState) {
+		server := p.pick(r, &s.callState)
 		if server == nil {
 			break
 		}
-		f.attempts++
-		f.tried = append(f.tried, server.Name)
-		done, err := p.flow(ctx, r, server, f)
+		s.attempts++
+		s.tried = append(s.tried, server.Name)
+		done, err := p.flow(ctx, r, server, s)
 		if done {
 			return nil
 		}
-		f.lastErr = err
-		p.logDecision(r, trail.Retry, server, fmt.Sprintf("after event %q: %v", f.lastID, err))
-		if f.mayHaveRun && !r.Route.Resumable {
+		s.lastErr = err
+		p.logDecision(r, trail.Retry, server, fmt.Sprintf("after event %q: %v", s.lastID, err))
+		if s.mayHaveRun && !r.Route.Resumable {
 			break
 		}
 	}
-	if f.headSent {
-		return fault.Wrap("proxy.Stream", Broke, f.lastErr, fmt.Sprintf("after event %q", f.lastID))
+	if s.headSent {
+		return fault.Wrap("proxy.Stream", Broke, s.lastErr, fmt.Sprintf("after event %q", s.lastID))
 	}
-	return p.giveUp(ctx, r, &f.callState)
+	return p.giveUp(ctx, r, &s.callState)
 }
 
 // streamState is the progress of a stream.
@@ -81,8 +81,9 @@
 	lastID string
 }
 
-// flow passes on the events of one server. It reports whether the stream is complete.
-func (p *Proxy) flow(ctx context.Context, r Request, server *pool.Server, f *streamState) (bool, error) {
+// flow passes on the answer of one server: its events, or its body if the status is not 200.
+// It reports whether the answer was passed on whole.
+func (p *Proxy) flow(ctx context.Context, r Request, server *pool.Server, s *streamState) (bool, error) {
 	began := p.Clock.Mono()
 	complete := false
 	defer func() { server.Release(p.Clock, true, p.Clock.Mono()-began, complete) }()
@@ -91,12 +92,12 @@
 	if r.Route.Resumable {
 		defer server.OnRestart(cancel)()
 	}
-	stream, err := p.Client.Open(ctx, p.streamCall(r, server, f))
+	stream, err := p.Client.Open(ctx, p.streamCall(r, server, s))
 	if err != nil {
-		f.recordNoAnswer(err, began)
+		s.recordNoAnswer(err, began)
 		server.Breaker.RecordFailure(p.Clock.Mono())
 		if fault.KindOf[httpc.Kind](err) == httpc.Lost {
-			p.detectServerExit(ctx, &r, &f.callState, server, p.Clock.Mono()-began)
+			p.detectServerExit(ctx, &r, &s.callState, server, p.Clock.Mono()-began)
 		}
 		return false, err
 	}
@@ -107,38 +108,38 @@
 	if verdict.NotRun {
 		return false, fault.New("proxy.flow", NotRun, http.StatusText(stream.Status))
 	}
-	f.mayHaveRun = true
-	f.answered, f.sentAt = true, began
-	if f.headSent && stream.Status != http.StatusOK {
+	s.mayHaveRun = true
+	s.answered, s.sentAt = true, began
+	if s.headSent && stream.Status != http.StatusOK {
 		return false, fault.New("proxy.flow", Lost, "not continued: "+http.StatusText(stream.Status))
 	}
-	if !f.headSent {
-		f.headSent = true
-		f.sink.Head(stream.Status, stream.Headers)
+	if !s.headSent {
+		s.headSent = true
+		s.sink.Head(stream.Status, stream.Headers)
 	}
 	if stream.Status != http.StatusOK {
-		p.reportAnswered(&r, &f.callState)
+		p.reportAnswered(&r, &s.callState)
 		body, err := io.ReadAll(io.LimitReader(stream.Body, maxBodyBytes))
 		if err == nil {
-			err = f.sink.Event(body)
+			err = s.sink.Event(body)
 		}
 		return err == nil, err
 	}
-	err = p.copyEvents(r, stream, f, cancel)
+	err = p.copyEvents(r, stream, s, cancel)
 	complete = err == nil
 	if complete {
-		p.reportAnswered(&r, &f.callState)
+		p.reportAnswered(&r, &s.callState)
 	}
 	if fault.KindOf[Kind](err) == Lost {
-		p.detectServerExit(ctx, &r, &f.callState, server, p.Clock.Mono()-began)
+		p.detectServerExit(ctx, &r, &s.callState, server, p.Clock.Mono()-began)
 	}
 	return complete, err
 }
 
-func (p *Proxy) streamCall(r Request, server *pool.Server, f *streamState) *httpc.Call {
+func (p *Proxy) streamCall(r Request, server *pool.Server, s *streamState) *httpc.Call {
 	headers := p.Protocol.Headers(&r, server.Name, r.Deadline-p.Clock.Mono())
-	if f.lastID != "" {
-		headers = p.Protocol.Resume(headers, f.lastID)
+	if s.lastID != "" {
+		headers = p.Protocol.Resume(headers, s.lastID)
 	}
 	return &httpc.Call{
 		Address: server.Address(), Method: r.Method, Path: r.Target, Body: r.Body, Headers: headers,
@@ -149,18 +150,18 @@
 
 // copyEvents passes on the events of a stream. cancel is called if a resumable stream is idle
 // for streamIdleTimeout.
-func (p *Proxy) copyEvents(r Request, stream *httpc.Stream, f *streamState, cancel context.CancelFunc) error {
+func (p *Proxy) copyEvents(r Request, stream *httpc.Stream, s *streamState, cancel context.CancelFunc) error {
 	if r.Route.Resumable {
 		idleTimer := p.Clock.AfterFunc(streamIdleTimeout, cancel)
 		defer idleTimer.Stop()
-		return pump(stream, f, func() { idleTimer.Reset(streamIdleTimeout.Duration()) })
+		return pump(stream, s, func() { idleTimer.Reset(streamIdleTimeout.Duration()) })
 	}
-	return pump(stream, f, func() {})
+	return pump(stream, s, func() {})
 }
 
 // pump passes on each event once it is complete, since a server may stop in the middle of
 // one. onEvent is called for each event.
-func pump(stream *httpc.Stream, f *streamState, onEvent func()) error {
+func pump(stream *httpc.Stream, s *streamState, onEvent func()) error {
 	var event bytes.Buffer
 	id := ""
 	for {
@@ -183,10 +184,10 @@
 			continue
 		}
 		onEvent()
-		if err := f.sink.Event(event.Bytes()); err != nil {
+		if err := s.sink.Event(event.Bytes()); err != nil {
 			return fault.Wrap("proxy.pump", Left, err, "the caller has gone")
 		}
-		f.lastID = id
+		s.lastID = id
 		event.Reset()
 	}
 }
