--- a/croftmoor/intake/intake.go
+++ b/croftmoor/intake/intake.go
@@ -360,7 +360,7 @@
 		return nil, i.notFoundError("intake.Body", job)
 	}
 	if !found {
-		return nil, fault.New("intake.Body", Unknown, "job "+string(job)+" has no item "+string(itemID))
+		return nil, fault.New("intake.Body", Unknown, "unknown item "+string(itemID)+" in job "+string(job))
 	}
 	data, err := i.Blobs.Get(ctx, span)
 	if err != nil {
