--- a/croftmoor/batch/actors.go
+++ b/croftmoor/batch/actors.go
@@ -10,9 +10,9 @@
 	"croftmoor.dev/kernel/views"
 )
 
-// silentZonePause is how long the engines of an availability zone get no items after
-// all of its instances have stopped sending heartbeats: the zone is probably cut off,
-// and its engines would fail each item only after a timeout.
+// silentZonePause is how long after the last heartbeat from an availability zone its
+// engines get no items. A zone without live instances is probably cut off, and its engines
+// would fail each item only after a timeout.
 const silentZonePause = 10 * clock.Second
 
 // actors maps each engine to its actor, the instance that runs its items. The map costs
@@ -29,12 +29,12 @@
 
 // refresh returns the actor of each engine in view, without the engines of silent zones.
 // Instances whose last heartbeat is before since count as gone.
-func (a *actors) refresh(b *jobs.State, view *fleet.View, now, since clock.Millis) map[ident.BackendName]ident.InstanceName {
+func (a *actors) refresh(state *jobs.State, view *fleet.View, now, since clock.Millis) map[ident.BackendName]ident.InstanceName {
 	live := map[ident.InstanceName]ident.Zone{}
-	for _, m := range b.Live(since) {
+	for _, m := range state.Live(since) {
 		live[m.Name] = m.Zone
 	}
-	silent := silentZones(b, live, now-silentZonePause, since)
+	silent := silentZones(state, live, now-silentZonePause, since)
 	if a.view == view && maps.Equal(a.live, live) && maps.Equal(a.silent, silent) {
 		return a.byEngine
 	}
@@ -60,9 +60,9 @@
 // silentZones returns the zones without a live instance in which at least one instance
 // was last heard between from and since. It does not count instances that left or were
 // superseded.
-func silentZones(b *jobs.State, live map[ident.InstanceName]ident.Zone, from, since clock.Millis) map[ident.Zone]bool {
+func silentZones(state *jobs.State, live map[ident.InstanceName]ident.Zone, from, since clock.Millis) map[ident.Zone]bool {
 	zones := map[ident.Zone]bool{}
-	for _, m := range b.Members {
+	for _, m := range state.Members {
 		if !m.Superseded && !m.Leaving && m.LastHeard >= from && m.LastHeard < since {
 			zones[m.Zone] = true
 		}
--- a/croftmoor/batch/ahead_test.go
+++ b/croftmoor/batch/ahead_test.go
@@ -42,8 +42,8 @@
 				r := newTestRunner(instances, 44, 1)
 				r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 				r.Blobs = blobs
-				r.Ledger.View(func(b *jobs.State) {
-					job := b.Jobs["job-0"]
+				r.Ledger.View(func(state *jobs.State) {
+					job := state.Jobs["job-0"]
 					waiting = job.Waiting
 					for i := range job.Items {
 						job.Items[i].Body = jobs.Span{Stream: "bodies.0", First: ident.Offset(i + 1), Count: 1}
--- a/croftmoor/batch/alone.go
+++ b/croftmoor/batch/alone.go
@@ -29,14 +29,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var toBegin []claimed
-	r.Ledger.View(func(b *jobs.State) {
-		s := r.snapshot(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
+	r.Ledger.View(func(state *jobs.State) {
+		s := r.takeSnapshot(state, table, r.Ledger.QuietSince()-r.Ledger.Idle())
 		if s == nil {
 			return
 		}
 		s.addItems()
 		for _, d := range deal.Assign(r.ownItems(s), r.ownEngines(s), 0, s.allowed) {
-			job := b.Jobs[d.Item.Job]
+			job := state.Jobs[d.Item.Job]
 			item := *s.item(d.Item)
 			item.Claim, item.Owner, item.Engine = 0, r.Self, d.Engine
 			toBegin = append(toBegin, claimed{key: jobs.ItemKey{Job: job.Job, Index: d.Item.Target.Index}, item: item, accept: job.Accept})
@@ -67,8 +67,8 @@
 	return own
 }
 
-// bodyReplicas is the number of instances that prefetch a body. A second one is needed
-// because one failure often takes away both the log and an instance.
+// bodyReplicas is the number of instances that prefetch a body. One is not enough: the
+// failure that makes the log unreachable often cuts off or restarts that instance too.
 const bodyReplicas = 2
 
 // replicasOf returns the instances that prefetch the body of an item, best first. They
@@ -125,13 +125,13 @@
 	return claims
 }
 
-// prefetchWindow is the time after a job's arrival within which instances prefetch its
-// bodies. Most items are claimed within it, and an instance that runs an item reads the
+// prefetchWindow is the time after a job's arrival within which instances start to prefetch
+// its bodies. Most items are claimed by then, and an instance that runs an item reads the
 // body in any case.
 const prefetchWindow = 500 * clock.Millis(1)
 
-// schedulePrefetch prefetches the bodies of jobs that are new in open, each after a
-// delay that differs between instances. The caller holds mu.
+// schedulePrefetch prefetches the bodies of jobs that are new in open. Each job has a delay
+// of at least half of prefetchWindow that differs between instances. The caller holds mu.
 func (r *Runner) schedulePrefetch(ctx context.Context, open map[ident.Job]bool) {
 	for id := range open {
 		if r.prefetched[id] {
@@ -170,11 +170,11 @@
 	var spans []jobs.Span
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ledger.View(func(b *jobs.State) {
-		if job := b.Jobs[id]; job == nil || !job.Open() || job.Waiting == 0 {
+	r.Ledger.View(func(state *jobs.State) {
+		if job := state.Jobs[id]; job == nil || !job.Open() || job.Waiting == 0 {
 			return
 		}
-		s := r.snapshot(b, table, r.Ledger.QuietSince())
+		s := r.takeSnapshot(state, table, r.Ledger.QuietSince())
 		if s == nil {
 			return
 		}
@@ -226,13 +226,13 @@
 	var addresses []ident.Address
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ledger.View(func(b *jobs.State) {
-		s := r.snapshot(b, table, r.Ledger.QuietSince()-r.Ledger.Idle())
+	r.Ledger.View(func(state *jobs.State) {
+		s := r.takeSnapshot(state, table, r.Ledger.QuietSince()-r.Ledger.Idle())
 		if s == nil {
 			return
 		}
 		for _, m := range replicasOf(id, s.actingInstances()) {
-			if member := b.Members[m.Name]; member != nil && m.Name != r.Self && member.Address != "" {
+			if member := state.Members[m.Name]; member != nil && m.Name != r.Self && member.Address != "" {
 				addresses = append(addresses, member.Address)
 			}
 		}
--- a/croftmoor/batch/alone_test.go
+++ b/croftmoor/batch/alone_test.go
@@ -7,7 +7,7 @@
 	"croftmoor.dev/kernel/ident"
 )
 
-// No items must fall to an instance that acts only for servers which are no engines.
+// An instance that acts only for servers other than engines must get no items.
 func TestShareIsAmongThoseWithEngines(t *testing.T) {
 	shared := 0
 	waiting := 0
@@ -20,13 +20,13 @@
 		}
 		r.Fleet.Set(list)
 		ledger, _ := r.Ledger.(*stateLedger)
-		s := r.snapshot(ledger.state, r.Routes(), ledger.QuietSince())
+		s := r.takeSnapshot(ledger.state, r.Routes(), ledger.QuietSince())
 		s.addItems()
 		waiting = len(s.items)
-		mine := r.ownItems(s)
-		shared += len(mine)
-		if len(mine) > 0 && len(r.ownEngines(s)) == 0 {
-			t.Errorf("%s has %d items and no engine", r.Self, len(mine))
+		items := r.ownItems(s)
+		shared += len(items)
+		if len(items) > 0 && len(r.ownEngines(s)) == 0 {
+			t.Errorf("%s has %d items and no engine", r.Self, len(items))
 		}
 	}
 	if shared != waiting {
--- a/croftmoor/batch/away_test.go
+++ b/croftmoor/batch/away_test.go
@@ -123,9 +123,9 @@
 	r := newTestRunner(4, 4, 1)
 	r.Blobs = &silentBlobs{}
 	var item jobs.Item
-	r.Ledger.View(func(b *jobs.State) {
-		item = b.Jobs["job-0"].Items[0]
-		for name, member := range b.Members {
+	r.Ledger.View(func(state *jobs.State) {
+		item = state.Jobs["job-0"].Items[0]
+		for name, member := range state.Members {
 			member.Address = ident.Address(name)
 		}
 	})
--- a/croftmoor/batch/back_test.go
+++ b/croftmoor/batch/back_test.go
@@ -43,12 +43,12 @@
 // the item's next run.
 func TestItemsAreGivenBackInOneAppend(t *testing.T) {
 	r := newTestRunner(4, 4, 1)
-	book, _ := r.Ledger.(*stateLedger)
-	ledger := &recordingLedger{stateLedger: book}
+	base, _ := r.Ledger.(*stateLedger)
+	ledger := &recordingLedger{stateLedger: base}
 	r.Ledger, r.Engines, r.Blobs = ledger, busyEngines{}, &bodyBlobs{}
-	item := book.state.Jobs["job-0"].Items[0]
+	item := base.state.Jobs["job-0"].Items[0]
 	item.Engine = "engine-0"
-	r.perform(t.Context(), claimed{key: jobs.ItemKey{Job: "job-0"}, item: item, accept: book.state.Jobs["job-0"].Accept}, &run{})
+	r.perform(t.Context(), claimed{key: jobs.ItemKey{Job: "job-0"}, item: item, accept: base.state.Jobs["job-0"].Accept}, &run{})
 	if len(ledger.appends) != 1 || len(ledger.appends[0]) != 2 {
 		t.Fatalf("appends %v, want one of two records", ledger.appends)
 	}
--- a/croftmoor/batch/batch.go
+++ b/croftmoor/batch/batch.go
@@ -112,17 +112,18 @@
 	Changed() <-chan struct{}
 	Append(ctx context.Context, records ...jobs.Record) (ident.Offset, error)
 	Await(ctx context.Context, next ident.Offset) error
-	// Hurry makes the ledger read the log at once.
+	// Hurry makes the ledger read the log now, without the usual pause between reads.
 	Hurry()
 	Fresh() bool
 	// Away reports whether the log does not answer.
 	Away() bool
 	// Age returns the time since the state was last known to be current.
 	Age() clock.Millis
-	// Idle returns the same as Age, for calls within View.
+	// Idle returns the time since the log last responded. It may be called only within
+	// View, where Age must not be called.
 	Idle() clock.Millis
-	// Since returns the earliest time of a last heartbeat at which a member counts as
-	// alive, QuietSince the earlier one that applies to owners of items and to actors.
+	// Since returns the time after which a member must have sent a heartbeat to count as
+	// alive. QuietSince returns that for owners of items, actors and dealers.
 	Since() clock.Millis
 	QuietSince() clock.Millis
 }
--- a/croftmoor/batch/dealer.go
+++ b/croftmoor/batch/dealer.go
@@ -21,20 +21,19 @@
 // records. If the dealer is silent, each instance claims items for its own idle engines,
 // and once QuietSince is past the dealer's last heartbeat, another instance deals.
 
-// idleBeforeOwnShare is how long an own engine with room may get nothing from the dealer
-// before this instance claims, for that engine, items that rendezvous hashing assigns to
-// its own engines. It is longer than a claim of the dealer usually takes to arrive: an
-// idle slot costs less than items that several instances claim.
-const idleBeforeOwnShare = 400 * clock.Millis(1)
+// idleBeforeOwnItems is how long an engine with room may get no item from the dealer before
+// its actor claims an item for it. The actor then chooses among the items that ownItems
+// returns. The dealer's claim usually arrives sooner, and an idle slot costs less than an
+// item that several instances claim.
+const idleBeforeOwnItems = 400 * clock.Millis(1)
 
 // idleCheckPeriod is the least time between two checks for own idle engines. A check
 // costs an assignment, which is too much after every batch of records.
 const idleCheckPeriod = 100 * clock.Millis(1)
 
-// idleBeforeAnyItem is how long an own engine with room may get nothing before this
-// instance claims any waiting item for it. Before that, only items assigned by rendezvous
-// hashing are claimed: otherwise, without a dealer, all instances would claim the same
-// longest item.
+// idleBeforeAnyItem is how long an engine with room may get no item before its actor
+// chooses among all waiting items. It does not do so earlier because, without a dealer, all
+// instances would claim the same longest item.
 const idleBeforeAnyItem = 1200 * clock.Millis(1)
 
 // dealer returns the instance that deals for a service. The caller holds mu and has
@@ -65,8 +64,8 @@
 	var claims []jobs.Claim
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ledger.View(func(b *jobs.State) {
-		s := r.snapshot(b, table, r.Ledger.QuietSince())
+	r.Ledger.View(func(state *jobs.State) {
+		s := r.takeSnapshot(state, table, r.Ledger.QuietSince())
 		if s == nil {
 			clear(r.idleSince)
 			return
@@ -92,7 +91,7 @@
 }
 
 // claimsForIdleEngines returns claims for the engines in own that have had room for
-// longer than idleBeforeOwnShare, and updates idleSince.
+// longer than idleBeforeOwnItems, and updates idleSince.
 func (r *Runner) claimsForIdleEngines(s *snapshot, own func(deal.Engine) bool) []jobs.Claim {
 	idle := map[ident.BackendName]clock.Millis{}
 	longest := clock.Millis(0)
@@ -105,12 +104,12 @@
 		longest = max(longest, s.now-since)
 	}
 	r.idleSince = idle
-	if longest <= idleBeforeOwnShare {
+	if longest <= idleBeforeOwnItems {
 		return nil
 	}
 	idleLong := func(e deal.Engine) bool {
 		since, known := idle[e.Name]
-		return known && s.now-since > idleBeforeOwnShare
+		return known && s.now-since > idleBeforeOwnItems
 	}
 	items := s.items
 	if longest <= idleBeforeAnyItem {
--- a/croftmoor/batch/meter.go
+++ b/croftmoor/batch/meter.go
@@ -48,8 +48,8 @@
 }
 
 // sampleLoad records the load of the engine's other items.
-func (m *meter) sampleLoad(beside jobs.Load) {
-	m.slowdownSum += deal.Slowdown(beside)
+func (m *meter) sampleLoad(load jobs.Load) {
+	m.slowdownSum += deal.Slowdown(load)
 	m.loadSamples++
 }
 
@@ -132,9 +132,9 @@
 		return false
 	}
 	otherPace := 0.0
-	r.Ledger.View(func(b *jobs.State) {
-		m.sampleLoad(otherLoad(b, c.item))
-		otherPace = r.fastestOtherPace(b, c, table.Services[c.accept.Service].Slots)
+	r.Ledger.View(func(state *jobs.State) {
+		m.sampleLoad(otherLoad(state, c.item))
+		otherPace = r.fastestOtherPace(state, c, table.Services[c.accept.Service].Slots)
 	})
 	if otherPace == 0 {
 		return false
@@ -146,8 +146,8 @@
 }
 
 // otherLoad returns the load of an item's engine without the item itself.
-func otherLoad(b *jobs.State, item jobs.Item) jobs.Load {
-	load := b.Loads[item.Engine]
+func otherLoad(state *jobs.State, item jobs.Item) jobs.Load {
+	load := state.Loads[item.Engine]
 	return jobs.Load{Items: max(load.Items-1, 0), Expect: max(load.Expect-item.Expect, 0)}
 }
 
@@ -161,16 +161,16 @@
 
 // fastestOtherPace returns the shortest expected time of an event, in milliseconds, at
 // another engine that could continue the item; 0 if there is none.
-func (r *Runner) fastestOtherPace(b *jobs.State, c claimed, slots int) float64 {
+func (r *Runner) fastestOtherPace(state *jobs.State, c claimed, slots int) float64 {
 	now := r.Clock.Mono()
 	best := 0.0
 	for _, m := range r.Fleet.View().Backends[c.accept.Service] {
 		name := ident.BackendName(m.Name)
-		pace := b.Paces[name].MillisPerEvent
-		version, ready := Version(b, m, c.accept.Model, now)
-		engine := deal.Engine{Name: name, Slots: cmp.Or(m.Slots, slots, 1), Load: b.Loads[name], MillisPerEvent: pace, FailureRate: b.FailureRates[name]}
+		pace := state.Paces[name].MillisPerEvent
+		version, ready := Version(state, m, c.accept.Model, now)
+		engine := deal.Engine{Name: name, Slots: cmp.Or(m.Slots, slots, 1), Load: state.Loads[name], MillisPerEvent: pace, FailureRate: state.FailureRates[name]}
 		switch {
-		case name == c.item.Engine, m.State == fleet.Leaving, now < b.AvoidedUntil[name], pace == 0:
+		case name == c.item.Engine, m.State == fleet.Leaving, now < state.AvoidedUntil[name], pace == 0:
 			continue
 		case engine.Load.Items >= engine.Slots, !ready, version < c.accept.MinVersion:
 			continue
--- a/croftmoor/batch/move_test.go
+++ b/croftmoor/batch/move_test.go
@@ -22,13 +22,13 @@
 func TestNoMovesWhileTheLedgerIsAway(t *testing.T) {
 	r := newTestRunner(4, 4, 1)
 	ledger, _ := r.Ledger.(*stateLedger)
-	book := ledger.state
+	state := ledger.state
 	for i := range 4 {
 		engine := ident.BackendName([]string{"engine-0", "engine-1", "engine-2", "engine-3"}[i])
-		book.Paces[engine] = jobs.Pace{MillisPerEvent: 20}
-		delete(book.Loads, engine)
+		state.Paces[engine] = jobs.Pace{MillisPerEvent: 20}
+		delete(state.Loads, engine)
 	}
-	job := book.Jobs["job-0"]
+	job := state.Jobs["job-0"]
 	item := job.Items[0]
 	item.Expect = 5000
 	c := claimed{key: jobs.ItemKey{Job: "job-0"}, item: item, accept: job.Accept}
--- a/croftmoor/batch/perform.go
+++ b/croftmoor/batch/perform.go
@@ -30,7 +30,7 @@
 	avoidBusyMillis   = 400
 	avoidBrokenMillis = 1500
 	// finishTimeout bounds the writing of a result, yieldTimeout that of a yield. By
-	// then another instance has claimed the item.
+	// then other instances have usually claimed the items of one that can't write.
 	finishTimeout    = 15 * clock.Second
 	yieldTimeout     = 2 * clock.Second
 	rewardRetryPause = 30 * clock.Millis(1)
@@ -49,7 +49,7 @@
 		return
 	}
 	meter := &meter{clock: r.Clock, startedAt: r.Clock.Mono()}
-	r.Ledger.View(func(b *jobs.State) { meter.sampleLoad(otherLoad(b, c.item)) })
+	r.Ledger.View(func(state *jobs.State) { meter.sampleLoad(otherLoad(state, c.item)) })
 	if !prog.textComplete {
 		if err := r.generate(ctx, item, prog, meter); err != nil {
 			r.reportEngineEnd(ctx, item, prog, err)
@@ -99,7 +99,7 @@
 	}
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := r.Clock.AfterFunc(r.silenceTimeout(prog.claim, engine), func() { cancel(context.DeadlineExceeded) })
+	silence := r.Clock.AfterFunc(r.firstEventLimit(prog.claim, engine), func() { cancel(context.DeadlineExceeded) })
 	defer silence.Stop()
 	events, err := r.Engines.Run(runCtx, engine, item, prog.events)
 	if err != nil {
@@ -136,14 +136,14 @@
 	return err
 }
 
-// silenceTimeout returns how long an engine may take to the first event of an item.
-func (r *Runner) silenceTimeout(c claimed, engine fleet.Member) clock.Millis {
+// firstEventLimit returns how long an engine may take to the first event of an item.
+func (r *Runner) firstEventLimit(c claimed, engine fleet.Member) clock.Millis {
 	slots := engine.Slots
 	if table := r.Routes(); slots == 0 && table != nil {
 		slots = table.Services[c.accept.Service].Slots
 	}
 	running := 0
-	r.Ledger.View(func(b *jobs.State) { running = b.Loads[c.item.Engine].Items })
+	r.Ledger.View(func(state *jobs.State) { running = state.Loads[c.item.Engine].Items })
 	if running > slots {
 		return queuedEventTimeout
 	}
@@ -175,7 +175,7 @@
 }
 
 // handleFailure ends a run that did not reach the end of its text. It terminates the item
-// if no retry is left, and otherwise yields it. After a busy or broken engine it also
+// if no retry is left, and otherwise yields it. Unless the error is Failed or Slow, it also
 // records that all instances avoid the engine for a while.
 func (r *Runner) handleFailure(ctx context.Context, prog *progress, meter *meter, err error) {
 	c := prog.claim
@@ -311,8 +311,8 @@
 // wanted reports whether an item can still be listed, by the state read last.
 func (r *Runner) wanted(key jobs.ItemKey) bool {
 	wanted := false
-	r.Ledger.View(func(b *jobs.State) {
-		job := b.Jobs[key.Job]
+	r.Ledger.View(func(state *jobs.State) {
+		job := state.Jobs[key.Job]
 		wanted = job != nil && !job.Ended && !job.Items[key.Index].Done
 	})
 	return wanted
--- a/croftmoor/batch/progress.go
+++ b/croftmoor/batch/progress.go
@@ -42,6 +42,7 @@
 	group    conc.WaitGroup
 }
 
+// add appends an event to the text.
 func (p *progress) add(e Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,8 +53,8 @@
 	}
 }
 
-// takeUnsaved empties unsaved and returns its text, and what the saved text will be with
-// it. The caller holds mu.
+// takeUnsaved empties unsaved. It returns the text that was in it, and the Partial, without
+// Texts, that describes the saved text once this text is added. The caller holds mu.
 func (p *progress) takeUnsaved() (text []byte, next jobs.Partial) {
 	text = []byte(strings.Join(p.unsaved, "\n"))
 	p.unsaved = nil
--- a/croftmoor/batch/race_test.go
+++ b/croftmoor/batch/race_test.go
@@ -39,9 +39,9 @@
 		r := newTestRunner(instances, engines, 0)
 		r.Self = ident.InstanceName(fmt.Sprintf("front-%d", n))
 		r.Clock = s.clock
-		r.Ledger.View(func(b *jobs.State) {
-			b.UpToDate = true
-			s.states = append(s.states, b)
+		r.Ledger.View(func(state *jobs.State) {
+			state.UpToDate = true
+			s.states = append(s.states, state)
 		})
 		s.runners = append(s.runners, r)
 		s.read = append(s.read, 0)
@@ -115,9 +115,9 @@
 // of items that had no result before.
 func (s *simulation) finishSome() int {
 	left := 0
-	book := s.states[0]
-	for _, id := range book.JobOrder {
-		job := book.Jobs[id]
+	state := s.states[0]
+	for _, id := range state.JobOrder {
+		job := state.Jobs[id]
 		for i := range job.Items {
 			item := &job.Items[i]
 			switch {
@@ -196,9 +196,9 @@
 		clear(s.claims)
 		s.runRounds(3)
 		if len(s.claims) > 0 {
-			t.Errorf("%d items claimed before idleBeforeOwnShare passed", len(s.claims))
+			t.Errorf("%d items claimed before idleBeforeOwnItems passed", len(s.claims))
 		}
-		s.clock.Advance(idleBeforeOwnShare)
+		s.clock.Advance(idleBeforeOwnItems)
 		s.runRounds(6)
 		if shared := len(s.claims); shared < items*4/5 {
 			t.Errorf("%d of %d items were claimed without the dealer", shared, items)
--- a/croftmoor/batch/runner.go
+++ b/croftmoor/batch/runner.go
@@ -56,7 +56,7 @@
 	// Counts and Guard may be nil.
 	Counts Counts
 	Guard  Guard
-	// Without is the set of mechanisms that are switched off.
+	// Without lists the disabled mechanisms; its method Enabled returns true for all others.
 	Without toggle.Set
 
 	mu      sync.Mutex
@@ -140,22 +140,22 @@
 // syncRuns starts the items that this instance has claimed, and cancels the runs whose
 // claim is gone or whose engine has restarted.
 func (r *Runner) syncRuns(ctx context.Context) {
-	mine := map[jobs.ItemKey]claimed{}
+	assigned := map[jobs.ItemKey]claimed{}
 	open := map[ident.Job]bool{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ledger.View(func(b *jobs.State) {
-		for _, id := range b.JobOrder {
-			if b.Jobs[id].Open() {
+	r.Ledger.View(func(state *jobs.State) {
+		for _, id := range state.JobOrder {
+			if state.Jobs[id].Open() {
 				open[id] = true
 			}
 		}
-		r.collect(b, mine)
+		r.collect(state, assigned)
 	})
 	r.schedulePrefetch(ctx, open)
 	starts := r.listedStarts()
 	for key, run := range r.runs {
-		c, ok := mine[key]
+		c, ok := assigned[key]
 		if ok && run.claim == 0 {
 			run.claim = c.item.Claim
 		}
@@ -163,7 +163,7 @@
 			run.cancel()
 		}
 	}
-	for key, c := range mine {
+	for key, c := range assigned {
 		if r.runs[key] == nil && !r.givenBack {
 			r.begin(ctx, c)
 		}
@@ -201,19 +201,19 @@
 	return listed && name != engine
 }
 
-// collect adds to mine the items that this instance has claimed, and those that it runs
+// collect adds to assigned the items that this instance has claimed, and those that it runs
 // without a claim and nobody has claimed. The caller holds mu.
-func (r *Runner) collect(b *jobs.State, mine map[jobs.ItemKey]claimed) {
+func (r *Runner) collect(state *jobs.State, assigned map[jobs.ItemKey]claimed) {
 	add := func(key jobs.ItemKey, job *jobs.Job) {
-		mine[key] = claimed{key: key, item: job.Items[key.Index], accept: job.Accept}
+		assigned[key] = claimed{key: key, item: job.Items[key.Index], accept: job.Accept}
 	}
-	for key := range b.Claims[r.Self] {
-		if job := b.Jobs[key.Job]; job.Open() {
+	for key := range state.Claims[r.Self] {
+		if job := state.Jobs[key.Job]; job.Open() {
 			add(key, job)
 		}
 	}
 	for key, run := range r.runs {
-		job := b.Jobs[key.Job]
+		job := state.Jobs[key.Job]
 		if run.claim != 0 || job == nil || !job.Open() {
 			continue
 		}
--- a/croftmoor/batch/survey.go
+++ b/croftmoor/batch/survey.go
@@ -20,7 +20,8 @@
 	items      []deal.RankedItem
 	itemsAdded bool
 	engines    []deal.Engine
-	// medianPace is the median time of an event at these engines, in milliseconds.
+	// medianPace is the median time of an event at engines, in milliseconds. It is set by
+	// addItems.
 	medianPace float64
 	// actor is the instance that acts for an engine, of any service.
 	actor map[ident.BackendName]ident.InstanceName
@@ -33,7 +34,7 @@
 	// be done; 0 is none.
 	deadlines map[ident.Job]clock.Millis
 	now       clock.Millis
-	// toggles are the mechanisms that are switched off.
+	// toggles reports which mechanisms are enabled: all but those in its set.
 	toggles toggle.Set
 	// silent are the owners of claims that count as gone.
 	silent map[ident.InstanceName]bool
@@ -57,13 +58,13 @@
 	return ready && version >= accept.MinVersion
 }
 
-// snapshot returns the jobs that have waiting items and the engines that may get them, or
+// takeSnapshot returns the jobs that have waiting items and the engines that may get them, or
 // nil if no item waits; addItems adds the items. Instances whose last heartbeat is before
 // since count as gone. The caller holds mu.
-func (r *Runner) snapshot(b *jobs.State, table *paths.Table, since clock.Millis) *snapshot {
+func (r *Runner) takeSnapshot(state *jobs.State, table *paths.Table, since clock.Millis) *snapshot {
 	s := &snapshot{
-		state: b, versions: map[jobs.EngineModel]ident.Version{}, services: map[ident.BackendName]ident.Service{},
-		accepts: map[ident.Job]jobs.Accept{}, silent: silentOwners(b, since), deadlines: map[ident.Job]clock.Millis{}, now: r.Clock.Mono(),
+		state: state, versions: map[jobs.EngineModel]ident.Version{}, services: map[ident.BackendName]ident.Service{},
+		accepts: map[ident.Job]jobs.Accept{}, silent: silentOwners(state, since), deadlines: map[ident.Job]clock.Millis{}, now: r.Clock.Mono(),
 		toggles: r.Without,
 	}
 	open := s.jobsWithWaitingItems()
@@ -78,16 +79,16 @@
 		}
 		s.accepts[job.Job] = accept
 	}
-	s.actor = r.actors.refresh(b, r.Fleet.View(), r.Clock.Mono(), since)
+	s.actor = r.actors.refresh(state, r.Fleet.View(), r.Clock.Mono(), since)
 	r.addEngines(s, table)
 	return s
 }
 
 // silentOwners returns the owners of claims that were last heard before since.
-func silentOwners(b *jobs.State, since clock.Millis) map[ident.InstanceName]bool {
+func silentOwners(state *jobs.State, since clock.Millis) map[ident.InstanceName]bool {
 	silent := map[ident.InstanceName]bool{}
-	for owner := range b.Claims {
-		if !b.Alive(owner, since) {
+	for owner := range state.Claims {
+		if !state.Alive(owner, since) {
 			silent[owner] = true
 		}
 	}
@@ -156,13 +157,13 @@
 // deferrable reports whether an item can start later and still end before its job's
 // deadline, even if it takes longer than expected.
 func (s *snapshot) deferrable(job *jobs.Job, item *jobs.Item) bool {
-	due := s.deadlines[job.Job]
-	if due == 0 || job.FromBacklog || !s.toggles.Enabled(toggle.Patience) {
+	deadline := s.deadlines[job.Job]
+	if deadline == 0 || job.FromBacklog || !s.toggles.Enabled(toggle.Patience) {
 		return false
 	}
 	events := float64(item.Expect) / tokensPerEvent
-	term := clock.Millis(maxOverrunFactor * events * s.medianPace)
-	return s.now+term+deferMargin < job.SeenAt+due
+	assumedTime := clock.Millis(maxOverrunFactor * events * s.medianPace)
+	return s.now+assumedTime+deferMargin < job.SeenAt+deadline
 }
 
 // hasRoom reports whether an engine that match accepts holds fewer items than its slots
@@ -215,10 +216,10 @@
 
 // Version returns the version of a model that an engine has, and whether the engine is
 // ready: it is not while it loads a later version.
-func Version(b *jobs.State, m fleet.Member, model ident.Model, now clock.Millis) (ident.Version, bool) {
+func Version(state *jobs.State, m fleet.Member, model ident.Model, now clock.Millis) (ident.Version, bool) {
 	key := jobs.EngineModel{Engine: ident.BackendName(m.Name), Model: model}
-	version := b.LoadedVersion(key, m.Versions[model])
-	w := b.Weights[key]
+	version := state.LoadedVersion(key, m.Versions[model])
+	w := state.Weights[key]
 	loading := w.Ordered > version && now-w.OrderSeenAt < loadTimeout
 	return version, !loading
 }
