--- a/croftmoor/blobs/blobs.go
+++ b/croftmoor/blobs/blobs.go
@@ -1,6 +1,5 @@
-// Package blobs keeps bodies and texts of batch jobs in streams of the
-// platform's log, next to the ledger that refers to them, and reads them back
-// with a small cache.
+// Package blobs stores the request bodies and generated texts of batch jobs in
+// streams of the platform's log, and reads them through an in-memory cache.
 package blobs
 
 import (
@@ -23,7 +22,7 @@
 
 // Kinds of errors.
 const (
-	// Unavailable means that the log could not be read now.
+	// Unavailable means that the log cannot be read at present.
 	Unavailable Kind = "Unavailable"
 	// Gone means that the log no longer has the blob.
 	Gone Kind = "Gone"
@@ -37,71 +36,72 @@
 	Write(ctx context.Context, stream ident.Stream, records ...[]byte) (ident.Offset, error)
 }
 
-// Family names a set of streams over which blobs are spread.
+// Family is the name of a set of streams over which jobs are partitioned.
 type Family string
 
 // Families.
 const (
-	// Bodies holds what callers sent.
+	// Bodies holds the request bodies of callers.
 	Bodies Family = "bodies"
-	// Texts holds what engines made.
+	// Texts holds the output of engines.
 	Texts Family = "texts"
 )
 
-// Store keeps blobs. Set the exported fields before use. The cache is guarded
-// by mu.
+// Store writes and reads blobs, with a cache of records. Set the exported fields before use.
 type Store struct {
 	Reader tail.ChunkReader
 	Writer Writer
 	Clock  *clock.Clock
-	// Parts is how many streams a family has.
+	// Partitions is the number of streams of a family.
 	Parts int
-	// RecordBytes and AppendBytes bound a record and an append.
+	// RecordBytes and AppendBytes limit the size of a record and of an append. A blob larger
+	// than AppendBytes is still written in one append.
 	RecordBytes int
 	AppendBytes int
-	// CacheBytes bounds the cache.
+	// CacheBytes limits the size of the cached records.
 	CacheBytes int
 
 	client *http.Client
-	// group has the reads under way, which end with base.
+	// group tracks the running reads.
 	group conc.WaitGroup
 
+	// mu guards all fields below.
 	mu     sync.Mutex
 	cache  map[place][]byte
 	order  []place
 	cached int
-	// reads are those under way or waiting, by the places that they are for; queue are those
-	// that wait until window has room for them.
+	// reads has the running and queued reads by the positions that they cover; queue has those
+	// that wait for room in window.
 	reads  map[place]*read
 	queue  []*read
 	window window
-	// sizes are the smoothed bytes of a record of each stream.
+	// recordSizes is the moving average of the bytes of a record, by stream.
 	sizes map[ident.Stream]int
-	// base ends with cancel; after that no read begins.
+	// baseCtx is the parent context of all reads; Stop cancels it.
 	base    context.Context
 	cancel  context.CancelFunc
 	stopped bool
 }
 
-// place is where a record lies.
+// position identifies a record of the log.
 type place struct {
 	stream ident.Stream
 	offset ident.Offset
 }
 
-// String names the place in errors.
+// String returns the form used in error texts.
 func (p place) String() string {
 	return string(p.stream) + " at " + strconv.FormatInt(int64(p.offset), 10)
 }
 
-// StreamOf returns the stream of a family in which a job's blobs lie.
+// StreamOf returns the stream of a family that holds a job's blobs.
 func (s *Store) StreamOf(family Family, job ident.Job) ident.Stream {
 	part := ident.Hash(string(job)) % uint64(max(s.Parts, 1))
 	return ident.Stream(string(family) + "." + strconv.FormatUint(part, 10))
 }
 
-// Put appends blobs and returns where each lies. All of them are appended when
-// it returns without an error.
+// Put appends blobs and returns the span of each. Without an error all are
+// appended; with an error some may be.
 func (s *Store) Put(ctx context.Context, family Family, job ident.Job, blobs [][]byte) ([]jobs.Span, error) {
 	stream := s.StreamOf(family, job)
 	spans := make([]jobs.Span, 0, len(blobs))
@@ -135,10 +135,10 @@
 	return spans, flush()
 }
 
-// recordOverhead is what a record costs beside its bytes.
+// recordOverhead is the bytes that a record takes in an append beside its data.
 const recordOverhead = 4
 
-// cut splits a blob into records.
+// split divides a blob into records; an empty blob is one empty record.
 func (s *Store) cut(blob []byte) [][]byte {
 	var records [][]byte
 	for len(blob) > s.RecordBytes {
@@ -155,9 +155,9 @@
 	return data, ok
 }
 
-// fillIn takes over the records that are in the cache, and returns the places of those that
-// are missing among the first least ones, and of the further ones within the next bytes;
-// negative bytes are no bound.
+// fillFromCache fills slots from the cache and returns the positions of missing records. It
+// looks at the first minRecords positions, and at further ones while their present or expected
+// sizes fit into maxBytes; a negative maxBytes means no limit.
 func (s *Store) fillIn(wanted []place, records []found, least, bytes int) []place {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +180,8 @@
 	return missing
 }
 
-// keep puts what was read into the cache; mu is held.
+// addToCache adds a read's records to the cache and evicts the oldest additions beyond
+// CacheBytes. The caller holds mu.
 func (s *Store) keep(r *read) {
 	for _, record := range r.records {
 		p := place{stream: r.stream, offset: record.Offset}
@@ -199,12 +200,12 @@
 	s.learn(r)
 }
 
-// PutBodies keeps the bodies of a job's items.
+// PutBodies appends the request bodies of a job's items and returns the span of each.
 func (s *Store) PutBodies(ctx context.Context, job ident.Job, blobs [][]byte) ([]jobs.Span, error) {
 	return s.Put(ctx, Bodies, job, blobs)
 }
 
-// PutText keeps one text of a job.
+// PutText appends one text of a job and returns its span.
 func (s *Store) PutText(ctx context.Context, job ident.Job, text []byte) (jobs.Span, error) {
 	spans, err := s.Put(ctx, Texts, job, [][]byte{text})
 	if err != nil {
--- a/croftmoor/blobs/gather.go
+++ b/croftmoor/blobs/gather.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// blobTries and textTries are how often the first missing record is tried for a caller
-	// of one blob, who has other ways, and of texts, who has none.
+	// blobAttempts and textAttempts limit the attempts to read the first missing record.
+	// Callers of Get can fall back to FetchFrom; callers of Texts have no fallback.
 	blobTries = 3
 	textTries = 6
-	// tryPause is the pause after a try that failed; it doubles up to mostTryPause.
+	// retryPause is the pause after a failed attempt; it doubles up to maxRetryPause.
 	tryPause     = 50 * clock.Millis(1)
 	mostTryPause = 400 * clock.Millis(1)
-	// readsAhead is how many reads one caller has under way or waiting: with a log that
-	// takes 50 times its usual 4 ms they bring some 2 MB a second.
+	// maxReadsPerCaller limits the reads of one caller that run or are queued.
 	readsAhead = 4
 )
 
-// Get reads a blob.
+// Get returns a blob from the cache or the log. The error is Gone if the log has dropped a
+// record of it, and Unavailable if the log cannot be read or ctx ends.
 func (s *Store) Get(ctx context.Context, span jobs.Span) ([]byte, error) {
 	g := &gathering{store: s, wanted: placesOf(span), tries: blobTries}
 	if err := g.run(ctx, func() bool { return false }); err != nil {
@@ -35,13 +35,13 @@
 	return g.join(0, span.Count), nil
 }
 
-// Texts reads texts, each of which consists of parts between which a line feed stands. It
-// returns those from the first one on that were there when they had most bytes together,
-// or when the term was over; without the first one it waits on until ctx ends.
+// Texts reads texts; the parts of a text are joined by line feeds. It returns the longest
+// prefix of texts that is complete when that prefix has maxBytes bytes or when term has
+// elapsed. If the first text is not complete by then, Texts waits for it until ctx ends.
+// The error is Gone or Unavailable, as for Get, and is returned only if no text is complete.
 //
-// A job's texts are read with few large reads side by side and given as far as they are
-// there: read one after another, with none given before the last, they took longer than
-// their caller waited, at each instance anew.
+// Texts runs a few large reads in parallel and returns partial results, because reading the
+// texts one after another can take longer than callers wait.
 func (s *Store) Texts(ctx context.Context, texts [][]jobs.Span, most int, term clock.Millis) ([]string, error) {
 	g := &gathering{store: s, most: most, tries: textTries}
 	ends := make([]int, 0, len(texts))
@@ -53,7 +53,7 @@
 	}
 	until := s.Clock.Mono() + term
 	g.over = s.Clock.After(term)
-	// ready returns how many texts are there from the first one on.
+	// ready returns the number of complete texts before the first incomplete one.
 	ready := func() int {
 		count, _ := slices.BinarySearch(ends, g.first+1)
 		return count
@@ -80,7 +80,7 @@
 	return joined, nil
 }
 
-// placesOf returns where the records of a span lie.
+// positionsOf returns the positions of a span's records.
 func placesOf(span jobs.Span) []place {
 	places := make([]place, 0, span.Count)
 	for i := range span.Count {
@@ -89,35 +89,37 @@
 	return places
 }
 
-// gathering is one caller's reading of many places, in the order in which it wants them.
+// gatherer reads records for one caller, in the order that the caller wants.
 type gathering struct {
 	store  *Store
 	wanted []place
-	// most is how many bytes are wanted at most, beside the first least places; 0 is all.
+	// maxBytes limits the bytes to read, except that the first minRecords records are always
+	// read; 0 means no limit.
 	most  int
 	least int
 	tries int
-	// over ends a wait, once; it may be nil.
+	// timeout fires once, when the caller's term has elapsed; nil means no term.
 	over <-chan time.Time
 
-	// found are the records of the wanted places as far as they are there; first is the
-	// first missing one, and bytes the size of those before it.
+	// slots holds the record of each wanted position. firstMissing is the index of the first
+	// slot without a record, and readyBytes the size of the records before it.
 	found []found
 	first int
 	bytes int
-	// reads are those that the caller waits for, failed counts those that brought nothing
-	// for the first missing place.
+	// reads are those that the caller waits for. failures counts consecutive reads for the
+	// first missing position that returned no records.
 	reads  []*read
 	failed int
 }
 
-// found is a record, if it is there.
+// recordSlot holds a record once it has been read; an empty record can be present.
 type found struct {
 	data  []byte
 	there bool
 }
 
-// run reads until all places are there, enough says so, or ctx ends.
+// run reads until all records are present, enough returns true, a record cannot be read, or
+// ctx ends.
 func (g *gathering) run(ctx context.Context, enough func() bool) error {
 	g.found = make([]found, len(g.wanted))
 	defer g.leave()
@@ -128,7 +130,7 @@
 		}
 		next := g.begin(missing)
 		if next == nil {
-			// It has come between the two looks.
+			// Another caller's read has put the record into the cache since the check above.
 			continue
 		}
 		select {
@@ -145,7 +147,8 @@
 	}
 }
 
-// missing returns the places that the caller lacks of those that it can use.
+// collectMissing fills slots from ended reads and the cache and advances firstMissing. It
+// returns the positions still to be read within the limit of maxBytes.
 func (g *gathering) missing() []place {
 	g.takeEnded()
 	bytes := -1
@@ -160,7 +163,8 @@
 	return missing
 }
 
-// takeEnded takes over what the ended reads brought: the cache may have dropped it again.
+// collectEnded copies the records of ended reads into slots, because the cache may have
+// evicted them already.
 func (g *gathering) takeEnded() {
 	g.reads = slices.DeleteFunc(g.reads, func(r *read) bool {
 		if !r.ended() {
@@ -177,8 +181,8 @@
 	})
 }
 
-// begin has the missing places read, some reads ahead, and returns the read for the first,
-// or nil if that place has come meanwhile.
+// startReads joins or queues reads for the missing positions, at most maxReadsPerCaller. It
+// returns the read for the first position, or nil if its record is in the cache by now.
 func (g *gathering) begin(missing []place) *read {
 	covered := map[place]bool{}
 	var next *read
@@ -205,11 +209,12 @@
 	return next
 }
 
-// judge returns an error if the first missing place can't be read.
+// checkRead returns Gone if the log has dropped the wanted record, Unavailable if the last
+// attempt has failed, and nil if the caller goes on.
 func (g *gathering) judge(r *read, wanted place) error {
 	switch {
 	case r.err == nil && wanted.offset < r.oldest:
-		return fault.New("blobs.gather", Gone, "the log has dropped "+wanted.String()+" and all up to "+strconv.FormatInt(int64(r.oldest), 10))
+		return fault.New("blobs.gather", Gone, "the log has dropped "+wanted.String()+", its first offset is "+strconv.FormatInt(int64(r.oldest), 10))
 	case len(r.records) > 0:
 		g.failed = 0
 		return nil
@@ -218,13 +223,12 @@
 		return nil
 	}
 	if r.err == nil {
-		return fault.New("blobs.gather", Unavailable, wanted.String()+" is not there yet")
+		return fault.New("blobs.gather", Unavailable, wanted.String()+" is not in the log yet")
 	}
 	return fault.Wrap("blobs.gather", Unavailable, r.err, "cannot read "+wanted.String())
 }
 
-// rest pauses after a try that failed, so that a log which refuses is not asked at once, and
-// no longer than the caller's term.
+// backOff pauses after a failed attempt, at most until the caller's term has elapsed.
 func (g *gathering) rest(ctx context.Context) {
 	if g.failed == 0 {
 		return
@@ -237,7 +241,7 @@
 	}
 }
 
-// leave gives up the reads that have not ended.
+// abandon stops waiting for the reads that have not ended.
 func (g *gathering) leave() {
 	for _, r := range g.reads {
 		r.waiting.Add(-1)
@@ -245,7 +249,8 @@
 	g.reads = nil
 }
 
-// join returns the records from one wanted place up to another, joined.
+// concat returns the concatenated records of the wanted positions from (inclusive) to
+// (exclusive).
 func (g *gathering) join(from, to int) []byte {
 	if to-from == 1 {
 		return g.found[from].data
--- a/croftmoor/blobs/gather_test.go
+++ b/croftmoor/blobs/gather_test.go
@@ -18,12 +18,13 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// stream is a stream of the log that holds so many records from an offset on, each of so
-// many bytes that name its offset.
+// fakeLog is a log of one stream with the records first to last, of size bytes each. A record
+// begins with its offset.
 type stream struct {
 	first, last ident.Offset
 	size        int
-	// hold keeps answers back until it is closed; nil is none. asked tells of each read.
+	// hold, if set, blocks reads until it is closed. asked, if set, receives the offset of
+	// each read.
 	hold  chan struct{}
 	asked chan ident.Offset
 	fail  error
@@ -37,7 +38,7 @@
 	return []byte(text + strings.Repeat("x", max(s.size-len(text), 0)))
 }
 
-// ReadSome returns records from offset on, as many as fit and one at least.
+// ReadSome returns the records from an offset on that fit, at least one.
 func (s *stream) ReadSome(ctx context.Context, _ ident.Stream, from ident.Offset, most int, _ clock.Millis) (tail.Batch, error) {
 	s.mu.Lock()
 	s.reads++
@@ -77,7 +78,7 @@
 	return texts
 }
 
-// wantOffsets checks that texts are those at offsets, in order.
+// wantOffsets checks that texts are those at the wanted offsets, in order.
 func wantOffsets(t *testing.T, texts []string, want ...ident.Offset) {
 	t.Helper()
 	var got []string
@@ -95,7 +96,7 @@
 
 const (
 	noLimit = 1 << 20
-	// soon is a term that is over at once, later one that is not over in the test.
+	// shortTerm elapses during a test, longTerm does not.
 	soon  = 20 * clock.Millis(1)
 	later = 10 * clock.Second
 )
@@ -251,7 +252,7 @@
 	}
 }
 
-// panicking is a log whose first read panics.
+// panickingLog is a log whose first read panics.
 type panicking struct {
 	stream
 	panicked sync.Once
@@ -332,7 +333,7 @@
 	group.Wait()
 }
 
-// twoStreams is a log of which one stream is silent.
+// twoStreams is a log with a stream that does not answer and a healthy one.
 type twoStreams struct{ silent, sound *stream }
 
 func (l twoStreams) ReadSome(ctx context.Context, name ident.Stream, from ident.Offset, most int, wait clock.Millis) (tail.Batch, error) {
--- a/croftmoor/blobs/peer.go
+++ b/croftmoor/blobs/peer.go
@@ -13,8 +13,7 @@
 
 const (
 	heldPath = "/croftmoor.Blobs/Held"
-	// fetchTerm bounds a question to another instance's memory; one that is cut off
-	// costs no more.
+	// fetchTimeout bounds a fetch from another instance, also from one that is unreachable.
 	fetchTerm = 300 * clock.Millis(1)
 )
 
@@ -28,12 +27,13 @@
 	Data []byte
 }
 
-// Setup makes the store able to ask other instances.
+// Setup creates the client for FetchFrom. Call it before FetchFrom.
 func (s *Store) Setup() { s.client = rpcs.NewClient() }
 
-// FetchFrom asks another instance for a blob that it holds in memory, so that work goes
-// on while the log does not answer. What the log has acknowledged never changes, so
-// the answer is the blob itself.
+// FetchFrom returns a blob from this instance's cache or else from another instance's cache.
+// It does not read the log and serves as the fallback while the log does not answer. Records
+// of the log are immutable, so a cached copy is always current. The error is Unavailable if
+// neither cache has the whole blob or the other instance does not answer in time.
 func (s *Store) FetchFrom(ctx context.Context, from ident.Address, span jobs.Span) ([]byte, error) {
 	if data, ok := s.held(span); ok {
 		return data, nil
@@ -42,12 +42,12 @@
 	defer cancel()
 	answer, err := rpcs.Call[spanWire, blobWire](ctx, s.client, from, heldPath, &spanWire{Stream: string(span.Stream), First: int64(span.First), Count: span.Count})
 	if err != nil {
-		return nil, fault.Wrap("blobs.FetchFrom", Unavailable, err, "from "+string(from))
+		return nil, fault.Wrap("blobs.FetchFrom", Unavailable, err, "fetch from "+string(from))
 	}
 	return answer.Data, nil
 }
 
-// held returns a blob if all of it is in memory.
+// cachedBlob returns a blob if all its records are in the cache.
 func (s *Store) held(span jobs.Span) ([]byte, bool) {
 	var blob []byte
 	for i := range span.Count {
@@ -60,13 +60,13 @@
 	return blob, span.Count > 0
 }
 
-// Handle answers other instances from what this one holds in memory.
+// Handle registers the endpoint that serves blobs from this instance's cache to others.
 func Handle(mux *http.ServeMux, s *Store) {
 	refused := func(err error) error { return rpcs.WithKind(err, string(fault.KindOf[Kind](err))) }
 	rpcs.Handle(mux, heldPath, refused, func(_ context.Context, w *spanWire) (*blobWire, error) {
 		data, ok := s.held(jobs.Span{Stream: ident.Stream(w.Stream), First: ident.Offset(w.First), Count: w.Count})
 		if !ok {
-			return nil, fault.New("blobs.Held", Unavailable, "not in memory: "+w.Stream)
+			return nil, fault.New("blobs.Held", Unavailable, "blob is not in the cache, stream "+w.Stream)
 		}
 		return &blobWire{Data: data}, nil
 	})
--- a/croftmoor/blobs/peer_test.go
+++ b/croftmoor/blobs/peer_test.go
@@ -15,7 +15,7 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// oneRecord is a log that has one record, and counts its reads.
+// oneRecord is a log with one record that counts its reads.
 type oneRecord struct {
 	reads int
 }
@@ -25,7 +25,7 @@
 	return tail.Batch{First: 1, Next: 2, Records: []tail.Record{{Offset: 1, Data: []byte("body")}}}, nil
 }
 
-// peerWith serves a store's memory and returns where.
+// servePeer serves a store's cache over HTTP and returns the address.
 func peerWith(t *testing.T, s *Store) ident.Address {
 	t.Helper()
 	mux := http.NewServeMux()
--- a/croftmoor/blobs/plan.go
+++ b/croftmoor/blobs/plan.go
@@ -7,31 +7,30 @@
 )
 
 const (
-	// leastRead is how much one read asks for at least: a few bodies or texts, of 2 to
-	// 5 KB. Whoever runs one item seldom needs its neighbours, and all instances share
-	// what the log reads out.
+	// minReadBytes is the least that one read asks for. It is small because a caller that runs
+	// one item seldom needs its neighbours, and all instances share the log's read throughput.
 	leastRead = 16 << 10
-	// mostRead bounds one read, so that the first records of many come soon over a slow
-	// link.
+	// maxReadBytes limits one read, so that its first records arrive soon over a slow link.
 	mostRead = 128 << 10
-	// mostGap is how many bytes of others' records are read rather than to call the log
-	// once more.
+	// maxGapBytes is the most unwanted bytes between two wanted records of one read; a
+	// wider gap takes a separate read.
 	mostGap = 12 << 10
-	// marginPercent is what a read asks for beyond the expected size of its records.
+	// marginPercent is added to the expected size of the records of a read.
 	marginPercent = 10
 	percent       = 100
 )
 
-// extent is what one read asks for: about so many bytes from an offset on, for the offsets
-// that are wanted, in rising order.
+// extent is the range of one read: about bytes bytes from the offset first. The wanted offsets
+// are in ascending order.
 type extent struct {
 	first  ident.Offset
 	bytes  int
 	wanted []ident.Offset
 }
 
-// extentFor returns the read for an offset and for those of the others that one read can
-// bring with it, given the expected bytes of a record and the most bytes of a read. It is pure.
+// extentFor returns the extent that begins at offset and covers those of the other offsets
+// after it that fit into maxBytes without a gap wider than maxGapBytes. recordBytes is the
+// expected size of a record.
 func extentFor(offset ident.Offset, others []ident.Offset, record, most int) extent {
 	sorted := slices.Clone(others)
 	slices.Sort(sorted)
--- a/croftmoor/blobs/read.go
+++ b/croftmoor/blobs/read.go
@@ -14,27 +14,27 @@
 
 const (
 	readTimeout = 1500 * clock.Millis(1)
-	// firstSize is the expected size of a record of a stream that was not read yet.
+	// defaultRecordSize is the expected size in bytes of a record of an unread stream.
 	firstSize = 2 << 10
-	// sizeWeight is the weight of earlier reads in the smoothed size of records.
+	// recordSizeWeight is the weight of the old average against one new read.
 	sizeWeight = 3
 )
 
-// read is a read of the log for whoever wants its records. Once it is under way it goes on
-// when they have left: they come back, and find in the cache what came meanwhile.
+// read is one read of the log, shared by all callers that want its records. A running read
+// continues without waiting callers, because callers that retry find its records in the cache.
 type read struct {
 	extent
 	stream ident.Stream
-	// waiting counts the callers that wait for it.
+	// waiters counts the callers that wait for the read.
 	waiting atomic.Int64
-	// awaited tells that a caller has nothing to give before it, and held that its bytes
-	// count against the window; both are guarded by the store's mu.
+	// urgent means that a caller needs this read for its first missing record; inWindow means
+	// that its bytes count against the window. The store's mu guards both.
 	awaited bool
 	held    bool
-	// done is closed when the rest is set.
+	// done is closed after the fields below are set.
 	done    chan struct{}
 	records []tail.Record
-	// oldest is the first offset that the log still has.
+	// oldest is the first offset that the stream still has.
 	oldest ident.Offset
 	err    error
 }
@@ -52,7 +52,7 @@
 	return p.stream == r.stream && slices.Contains(r.wanted, p.offset)
 }
 
-// record returns a record of an ended read.
+// record returns the record at an offset, if the read has returned it. The read has ended.
 func (r *read) record(offset ident.Offset) ([]byte, bool) {
 	n, found := slices.BinarySearchFunc(r.records, offset, func(record tail.Record, wanted ident.Offset) int {
 		return cmp.Compare(record.Offset, wanted)
@@ -63,8 +63,8 @@
 	return r.records[n].Data, true
 }
 
-// Stop gives up the reads under way and waits for them; none begins any more. A panic of one
-// is thrown here.
+// Stop cancels the running reads and waits for them; no read starts afterwards. It re-panics
+// if a read has panicked.
 func (s *Store) Stop() {
 	s.mu.Lock()
 	s.prepare()
@@ -75,10 +75,9 @@
 	s.group.Wait()
 }
 
-// join returns reads for missing places, as many as most in the order of the places: those
-// that are under way for others, and new ones. It stops at a place that has come meanwhile.
-// The caller is counted as waiting for each; awaited tells that it has nothing to give
-// before the first.
+// joinReads returns at most limit reads for missing positions, in their order: existing reads
+// of other callers, or new ones. It stops at a position that is in the cache by now. It counts
+// the caller as a waiter of each read, and marks the first one as urgent if urgent is set.
 func (s *Store) join(missing []place, most int, awaited bool) []*read {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,15 +104,15 @@
 	return joined
 }
 
-// hasten marks a read that a caller has waited for, and has now nothing to give before it.
+// prioritize marks a read as urgent once a caller needs it for its first missing record.
 func (s *Store) hasten(r *read) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.awaited = true
 }
 
-// newRead returns a read for a place, and for those of the missing ones around it that nobody
-// reads yet; mu is held.
+// newRead registers a read for a position and for the missing ones after it that fit into the
+// same read and that no other read covers. The caller holds mu.
 func (s *Store) newRead(first place, missing []place) *read {
 	var offsets []ident.Offset
 	for _, p := range missing {
@@ -131,14 +130,14 @@
 	return r
 }
 
-// pump starts the reads for which there is room: those without which a caller has nothing
-// to give go first. Reads for which nobody waits any more are dropped. mu is held.
+// startQueued starts queued reads while the window has room, urgent ones first. It drops
+// queued reads without waiters, and all of them after Stop. The caller holds mu.
 func (s *Store) pump() {
 	s.queue = slices.DeleteFunc(s.queue, func(r *read) bool {
 		if !s.stopped && r.waiting.Load() > 0 {
 			return false
 		}
-		r.err = fault.New("blobs.read", Unavailable, "given up before its turn")
+		r.err = fault.New("blobs.read", Unavailable, "read canceled before it started")
 		s.settle(r)
 		return true
 	})
@@ -154,10 +153,11 @@
 	}
 }
 
-// do reads. Whatever becomes of it, its places can be read anew afterwards.
+// execute runs a read. It finishes the read even after a panic, so that later reads can cover
+// its positions.
 func (s *Store) do(r *read) {
 	began := s.Clock.Mono()
-	r.err = fault.New("blobs.read", Unavailable, "the read broke off")
+	r.err = fault.New("blobs.read", Unavailable, "read ended without a result")
 	late := s.Clock.AfterFunc(slowRead, func() { s.release(r) })
 	defer func() {
 		late.Stop()
@@ -175,8 +175,8 @@
 	r.records, r.oldest, r.err = batch.Records, batch.First, err
 }
 
-// release gives a read's room to others, once. One that is slow does so before its end: reads
-// that hang would keep out all others, also those of streams that answer.
+// releaseWindow returns a read's room in the window; further calls have no effect. A slow read
+// returns its room before it ends, because reads that hang would otherwise block all others.
 func (s *Store) release(r *read) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +188,7 @@
 	s.pump()
 }
 
-// settle ends a read: others may read its places anew. mu is held.
+// finish ends a read and unregisters its positions. The caller holds mu.
 func (s *Store) settle(r *read) {
 	for _, offset := range r.wanted {
 		delete(s.reads, place{stream: r.stream, offset: offset})
@@ -196,7 +196,7 @@
 	close(r.done)
 }
 
-// prepare makes what the first use needs; mu is held.
+// initialize creates the maps, the window and the context at first use. The caller holds mu.
 func (s *Store) prepare() {
 	if s.reads != nil {
 		return
@@ -208,7 +208,7 @@
 	s.base, s.cancel = context.WithCancel(context.Background())
 }
 
-// learn smooths the size of a stream's records; mu is held.
+// updateRecordSize updates the moving average of a stream's record size. The caller holds mu.
 func (s *Store) learn(r *read) {
 	if len(r.records) == 0 {
 		return
@@ -220,7 +220,8 @@
 	s.sizes[r.stream] = (s.size(r.stream)*sizeWeight + bytes/len(r.records)) / (sizeWeight + 1)
 }
 
-// size returns the expected size of a record of a stream; mu is held.
+// recordSize returns the expected bytes of a record of a stream, at least 1. The caller holds
+// mu.
 func (s *Store) size(stream ident.Stream) int {
 	if size, known := s.sizes[stream]; known {
 		return max(size, 1)
--- a/croftmoor/blobs/window.go
+++ b/croftmoor/blobs/window.go
@@ -3,35 +3,34 @@
 import "croftmoor.dev/kernel/clock"
 
 const (
-	// leastWindow, firstWindow and mostWindow are the bytes that reads under way may ask
-	// for together: at least a few of the smallest, and at first some.
+	// minWindowBytes, initialWindowBytes and maxWindowBytes bound the sum of the bytes that
+	// running reads ask for.
 	leastWindow = 4 * leastRead
 	firstWindow = 2 * leastWindow
 	mostWindow  = 4 << 20
-	// quickRead is the time of a read of a log that has room, also when it takes 60 times
-	// its usual 4 ms, and slowRead that of one that has to share what there is. A log
-	// that is slower than quickRead by itself is taken for one without room.
+	// A read faster than fastReadTime shows spare capacity and widens the window; one of
+	// slowReadTime or longer shows congestion and halves it.
 	quickRead = 300 * clock.Millis(1)
 	slowRead  = 500 * clock.Millis(1)
-	// windowReads is how many reads the window has room for at least.
+	// minWindowReads is the number of reads of the largest size that fit into the window.
 	windowReads = 4
 )
 
-// window bounds the bytes of the reads under way by what comes in time: it grows while reads
-// are quick, and is halved by one that is slow or fails. Without it, more reads than the link
-// or the log can serve in their time all run out of it, and none brings anything. It is pure.
+// window is a congestion window: it limits the bytes that running reads ask for together. It
+// grows while reads are fast, and a slow or failed read halves it. Without this limit, a link
+// or log that is overloaded lets all reads time out. The store's mu guards it.
 type window struct {
 	bytes int
 	used  int
 }
 
-// newWindow returns the window to begin with.
 func newWindow() window { return window{bytes: firstWindow} }
 
-// mostPerRead returns how much one read may ask for.
+// readLimit returns the most bytes that one read may ask for.
 func (w *window) mostPerRead() int { return min(max(w.bytes/windowReads, leastRead), mostRead) }
 
-// take begins a read if there is room for it.
+// tryAcquire reserves room for a read and reports whether there was enough. A read of any
+// size fits into an empty window, so that it can always run.
 func (w *window) take(bytes int) bool {
 	if w.used > 0 && w.used+bytes > w.bytes {
 		return false
@@ -40,10 +39,10 @@
 	return true
 }
 
-// give ends a read's claim to room.
+// release returns the room of a read.
 func (w *window) give(bytes int) { w.used -= bytes }
 
-// learn adapts the window to a read that has ended.
+// update adapts the window to a read that has ended.
 func (w *window) learn(bytes int, took clock.Millis, ok bool) {
 	switch {
 	case !ok || took >= slowRead:
