--- a/croftmoor/blobs/blobs.go
+++ b/croftmoor/blobs/blobs.go
@@ -66,31 +66,31 @@
 	group conc.WaitGroup
 
 	// mu guards all fields below.
-	mu     sync.Mutex
-	cache  map[place][]byte
-	order  []place
-	cached int
+	mu             sync.Mutex
+	cache          map[position][]byte
+	insertionOrder []position
+	cachedBytes    int
 	// reads has the running and queued reads by the positions that they cover; queue has those
 	// that wait for room in window.
-	reads  map[place]*read
+	reads  map[position]*read
 	queue  []*read
 	window window
 	// recordSizes is the moving average of the bytes of a record, by stream.
-	sizes map[ident.Stream]int
+	recordSizes map[ident.Stream]int
 	// baseCtx is the parent context of all reads; Stop cancels it.
-	base    context.Context
+	baseCtx context.Context
 	cancel  context.CancelFunc
 	stopped bool
 }
 
 // position identifies a record of the log.
-type place struct {
+type position struct {
 	stream ident.Stream
 	offset ident.Offset
 }
 
 // String returns the form used in error texts.
-func (p place) String() string {
+func (p position) String() string {
 	return string(p.stream) + " at " + strconv.FormatInt(int64(p.offset), 10)
 }
 
@@ -106,7 +106,7 @@
 	stream := s.StreamOf(family, job)
 	spans := make([]jobs.Span, 0, len(blobs))
 	var records [][]byte
-	size, from := 0, 0
+	pendingBytes, pendingSpan := 0, 0
 	flush := func() error {
 		if len(records) == 0 {
 			return nil
@@ -115,22 +115,22 @@
 		if err != nil {
 			return err
 		}
-		for i := from; i < len(spans); i++ {
+		for i := pendingSpan; i < len(spans); i++ {
 			spans[i].First += first
 		}
-		records, size, from = nil, 0, len(spans)
+		records, pendingBytes, pendingSpan = nil, 0, len(spans)
 		return nil
 	}
 	for _, blob := range blobs {
-		cut := s.cut(blob)
-		if size+len(blob)+len(cut)*recordOverhead > s.AppendBytes {
+		chunks := s.split(blob)
+		if pendingBytes+len(blob)+len(chunks)*recordOverhead > s.AppendBytes {
 			if err := flush(); err != nil {
 				return nil, err
 			}
 		}
-		spans = append(spans, jobs.Span{Stream: stream, First: ident.Offset(len(records)), Count: len(cut)})
-		records = append(records, cut...)
-		size += len(blob) + len(cut)*recordOverhead
+		spans = append(spans, jobs.Span{Stream: stream, First: ident.Offset(len(records)), Count: len(chunks)})
+		records = append(records, chunks...)
+		pendingBytes += len(blob) + len(chunks)*recordOverhead
 	}
 	return spans, flush()
 }
@@ -139,7 +139,7 @@
 const recordOverhead = 4
 
 // split divides a blob into records; an empty blob is one empty record.
-func (s *Store) cut(blob []byte) [][]byte {
+func (s *Store) split(blob []byte) [][]byte {
 	var records [][]byte
 	for len(blob) > s.RecordBytes {
 		records = append(records, blob[:s.RecordBytes])
@@ -148,56 +148,56 @@
 	return append(records, blob)
 }
 
-func (s *Store) lookup(at place) ([]byte, bool) {
+func (s *Store) lookup(p position) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	data, ok := s.cache[at]
+	data, ok := s.cache[p]
 	return data, ok
 }
 
 // fillFromCache fills slots from the cache and returns the positions of missing records. It
-// looks at the first minRecords positions, and at further ones while their present or expected
-// sizes fit into maxBytes; a negative maxBytes means no limit.
-func (s *Store) fillIn(wanted []place, records []found, least, bytes int) []place {
+// looks at the first minRecords positions, and at further ones until their present or expected
+// sizes have used up byteBudget; a negative byteBudget means no limit.
+func (s *Store) fillFromCache(wanted []position, slots []recordSlot, minRecords, byteBudget int) []position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var missing []place
-	bounded := bytes >= 0
+	var missing []position
+	bounded := byteBudget >= 0
 	for n, p := range wanted {
-		if bounded && bytes <= 0 && n >= least {
+		if bounded && byteBudget <= 0 && n >= minRecords {
 			break
 		}
-		if !records[n].there {
-			records[n].data, records[n].there = s.cache[p]
+		if !slots[n].present {
+			slots[n].data, slots[n].present = s.cache[p]
 		}
-		if records[n].there {
-			bytes -= len(records[n].data)
+		if slots[n].present {
+			byteBudget -= len(slots[n].data)
 			continue
 		}
 		missing = append(missing, p)
-		bytes -= s.size(p.stream)
+		byteBudget -= s.recordSize(p.stream)
 	}
 	return missing
 }
 
 // addToCache adds a read's records to the cache and evicts the oldest additions beyond
 // CacheBytes. The caller holds mu.
-func (s *Store) keep(r *read) {
+func (s *Store) addToCache(r *read) {
 	for _, record := range r.records {
-		p := place{stream: r.stream, offset: record.Offset}
+		p := position{stream: r.stream, offset: record.Offset}
 		if _, known := s.cache[p]; known {
 			continue
 		}
 		s.cache[p] = record.Data
-		s.order = append(s.order, p)
-		s.cached += len(record.Data)
+		s.insertionOrder = append(s.insertionOrder, p)
+		s.cachedBytes += len(record.Data)
 	}
-	for s.cached > s.CacheBytes && len(s.order) > 0 {
-		s.cached -= len(s.cache[s.order[0]])
-		delete(s.cache, s.order[0])
-		s.order = s.order[1:]
+	for s.cachedBytes > s.CacheBytes && len(s.insertionOrder) > 0 {
+		s.cachedBytes -= len(s.cache[s.insertionOrder[0]])
+		delete(s.cache, s.insertionOrder[0])
+		s.insertionOrder = s.insertionOrder[1:]
 	}
-	s.learn(r)
+	s.updateRecordSize(r)
 }
 
 // PutBodies appends the request bodies of a job's items and returns the span of each.
--- a/croftmoor/blobs/gather_test.go
+++ b/croftmoor/blobs/gather_test.go
@@ -18,9 +18,9 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// fakeLog is a log of one stream with the records first to last, of size bytes each. A record
+// fakeLog is a log of one fakeLog with the records first to last, of size bytes each. A record
 // begins with its offset.
-type stream struct {
+type fakeLog struct {
 	first, last ident.Offset
 	size        int
 	// hold, if set, blocks reads until it is closed. asked, if set, receives the offset of
@@ -33,13 +33,13 @@
 	reads int
 }
 
-func (s *stream) record(offset ident.Offset) []byte {
+func (s *fakeLog) record(offset ident.Offset) []byte {
 	text := fmt.Sprintf("%d.", offset)
 	return []byte(text + strings.Repeat("x", max(s.size-len(text), 0)))
 }
 
 // ReadSome returns the records from an offset on that fit, at least one.
-func (s *stream) ReadSome(ctx context.Context, _ ident.Stream, from ident.Offset, most int, _ clock.Millis) (tail.Batch, error) {
+func (s *fakeLog) ReadSome(ctx context.Context, _ ident.Stream, from ident.Offset, most int, _ clock.Millis) (tail.Batch, error) {
 	s.mu.Lock()
 	s.reads++
 	s.mu.Unlock()
@@ -65,7 +65,7 @@
 	return batch, nil
 }
 
-func storeOf(s *stream) *Store {
+func newStore(s *fakeLog) *Store {
 	return &Store{Reader: s, Clock: clock.New(), CacheBytes: 1 << 20}
 }
 
@@ -97,77 +97,77 @@
 const (
 	noLimit = 1 << 20
 	// shortTerm elapses during a test, longTerm does not.
-	soon  = 20 * clock.Millis(1)
-	later = 10 * clock.Second
+	shortTerm = 20 * clock.Millis(1)
+	longTerm  = 10 * clock.Second
 )
 
 func TestTexts(t *testing.T) {
 	t.Run("come in the order in which they are asked for", func(t *testing.T) {
-		log := &stream{first: 1, last: 50, size: 100}
-		texts, err := storeOf(log).Texts(t.Context(), textsAt(30, 2, 17), noLimit, later)
+		log := &fakeLog{first: 1, last: 50, size: 100}
+		texts, err := newStore(log).Texts(t.Context(), textsAt(30, 2, 17), noLimit, longTerm)
 		if err != nil {
 			t.Fatal(err)
 		}
 		wantOffsets(t, texts, 30, 2, 17)
 	})
 	t.Run("parts are joined by line feeds, records of a part by nothing", func(t *testing.T) {
-		log := &stream{first: 1, last: 9, size: 2}
+		log := &fakeLog{first: 1, last: 9, size: 2}
 		parts := []jobs.Span{{Stream: "texts.0", First: 1, Count: 2}, {Stream: "texts.0", First: 5, Count: 1}}
-		texts, err := storeOf(log).Texts(t.Context(), [][]jobs.Span{parts, nil}, noLimit, later)
+		texts, err := newStore(log).Texts(t.Context(), [][]jobs.Span{parts, nil}, noLimit, longTerm)
 		if err != nil || !slices.Equal(texts, []string{"1.2.\n5.", ""}) {
 			t.Errorf("%q, error %v", texts, err)
 		}
 	})
 	t.Run("no more are read than fit", func(t *testing.T) {
-		log := &stream{first: 1, last: 4000, size: 1000}
-		store := storeOf(log)
+		log := &fakeLog{first: 1, last: 4000, size: 1000}
+		store := newStore(log)
 		offsets := make([]ident.Offset, 0, 400)
 		for n := range 400 {
 			offsets = append(offsets, ident.Offset(1+10*n))
 		}
-		texts, err := store.Texts(t.Context(), textsAt(offsets...), 20_000, later)
+		texts, err := store.Texts(t.Context(), textsAt(offsets...), 20_000, longTerm)
 		if err != nil || len(texts) < 20 || len(texts) > 60 {
 			t.Errorf("%d texts, error %v, want some 20", len(texts), err)
 		}
 	})
 	t.Run("records larger than expected are read all the same", func(t *testing.T) {
-		log := &stream{first: 1, last: 30, size: 100_000}
-		texts, err := storeOf(log).Texts(t.Context(), textsAt(1, 2, 3, 30), noLimit, later)
+		log := &fakeLog{first: 1, last: 30, size: 100_000}
+		texts, err := newStore(log).Texts(t.Context(), textsAt(1, 2, 3, 30), noLimit, longTerm)
 		if err != nil {
 			t.Fatal(err)
 		}
 		wantOffsets(t, texts, 1, 2, 3, 30)
 	})
 	t.Run("one that the log has dropped ends those before it, and is no text if it is first", func(t *testing.T) {
-		log := &stream{first: 5, last: 30, size: 100}
-		store := storeOf(log)
-		texts, err := store.Texts(t.Context(), textsAt(20, 2, 21), noLimit, later)
+		log := &fakeLog{first: 5, last: 30, size: 100}
+		store := newStore(log)
+		texts, err := store.Texts(t.Context(), textsAt(20, 2, 21), noLimit, longTerm)
 		if err != nil {
 			t.Fatal(err)
 		}
 		wantOffsets(t, texts, 20)
-		if _, err := store.Texts(t.Context(), textsAt(2, 20), noLimit, later); fault.KindOf[Kind](err) != Gone {
+		if _, err := store.Texts(t.Context(), textsAt(2, 20), noLimit, longTerm); fault.KindOf[Kind](err) != Gone {
 			t.Errorf("error %v, want Gone", err)
 		}
 	})
 	t.Run("a log that fails is tried again, and then is unavailable", func(t *testing.T) {
-		log := &stream{fail: errors.New("busy")}
-		_, err := storeOf(log).Texts(t.Context(), textsAt(1), noLimit, later)
-		if fault.KindOf[Kind](err) != Unavailable || log.reads != textTries {
-			t.Errorf("error %v after %d reads, want Unavailable after %d", err, log.reads, textTries)
+		log := &fakeLog{fail: errors.New("busy")}
+		_, err := newStore(log).Texts(t.Context(), textsAt(1), noLimit, longTerm)
+		if fault.KindOf[Kind](err) != Unavailable || log.reads != textAttempts {
+			t.Errorf("error %v after %d reads, want Unavailable after %d", err, log.reads, textAttempts)
 		}
 	})
 }
 
 func TestTextsInTime(t *testing.T) {
 	t.Run("when the term is over, what is there is given", func(t *testing.T) {
-		log := &stream{first: 1, last: 900, size: 100}
-		store := storeOf(log)
-		if _, err := store.Texts(t.Context(), textsAt(1), noLimit, later); err != nil {
+		log := &fakeLog{first: 1, last: 900, size: 100}
+		store := newStore(log)
+		if _, err := store.Texts(t.Context(), textsAt(1), noLimit, longTerm); err != nil {
 			t.Fatal(err)
 		}
 		log.hold = make(chan struct{})
-		texts, err := store.Texts(t.Context(), textsAt(1, 800), noLimit, soon)
+		texts, err := store.Texts(t.Context(), textsAt(1, 800), noLimit, shortTerm)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,13 +175,13 @@
 		close(log.hold)
 	})
 	t.Run("the first text is waited for beyond the term", func(t *testing.T) {
-		log := &stream{first: 1, last: 9, size: 100, hold: make(chan struct{})}
+		log := &fakeLog{first: 1, last: 9, size: 100, hold: make(chan struct{})}
 		var group conc.WaitGroup
 		group.Go(func() {
-			clock.New().Sleep(t.Context(), 3*soon)
+			clock.New().Sleep(t.Context(), 3*shortTerm)
 			close(log.hold)
 		})
-		texts, err := storeOf(log).Texts(t.Context(), textsAt(1), noLimit, soon)
+		texts, err := newStore(log).Texts(t.Context(), textsAt(1), noLimit, shortTerm)
 		group.Wait()
 		if err != nil {
 			t.Fatal(err)
@@ -189,12 +189,12 @@
 		wantOffsets(t, texts, 1)
 	})
 	t.Run("what comes when its caller has left is there for the next one", func(t *testing.T) {
-		log := &stream{first: 1, last: 9, size: 100, hold: make(chan struct{}), asked: make(chan ident.Offset, 9)}
-		store := storeOf(log)
+		log := &fakeLog{first: 1, last: 9, size: 100, hold: make(chan struct{}), asked: make(chan ident.Offset, 9)}
+		store := newStore(log)
 		ctx, leave := context.WithCancel(t.Context())
 		var group conc.WaitGroup
 		group.Go(func() {
-			if _, err := store.Texts(ctx, textsAt(1), noLimit, later); fault.KindOf[Kind](err) != Unavailable {
+			if _, err := store.Texts(ctx, textsAt(1), noLimit, longTerm); fault.KindOf[Kind](err) != Unavailable {
 				t.Errorf("error %v, want Unavailable", err)
 			}
 		})
@@ -203,19 +203,19 @@
 		group.Wait()
 		close(log.hold)
 		store.group.Wait()
-		if _, err := store.Texts(t.Context(), textsAt(1), noLimit, later); err != nil || log.reads != 1 {
+		if _, err := store.Texts(t.Context(), textsAt(1), noLimit, longTerm); err != nil || log.reads != 1 {
 			t.Errorf("error %v after %d reads, want one", err, log.reads)
 		}
 	})
 }
 
 func TestReadsAreShared(t *testing.T) {
-	log := &stream{first: 1, last: 9, size: 100, hold: make(chan struct{}), asked: make(chan ident.Offset, 9)}
-	store := storeOf(log)
+	log := &fakeLog{first: 1, last: 9, size: 100, hold: make(chan struct{}), asked: make(chan ident.Offset, 9)}
+	store := newStore(log)
 	var group conc.WaitGroup
 	for range 20 {
 		group.Go(func() {
-			if _, err := store.Texts(t.Context(), textsAt(1, 2), noLimit, later); err != nil {
+			if _, err := store.Texts(t.Context(), textsAt(1, 2), noLimit, longTerm); err != nil {
 				t.Error(err)
 			}
 		})
@@ -237,9 +237,9 @@
 		bytes  int
 		wanted []ident.Offset
 	}{
-		{"a single record", 7, nil, leastRead, []ident.Offset{7}},
+		{"a single record", 7, nil, minReadBytes, []ident.Offset{7}},
 		{"with those behind it, not with those before it", 7, []ident.Offset{3, 30, 19}, 26_400, []ident.Offset{7, 19, 30}},
-		{"not across a wide gap", 1, []ident.Offset{2, 100}, leastRead, []ident.Offset{1, 2}},
+		{"not across a wide gap", 1, []ident.Offset{2, 100}, minReadBytes, []ident.Offset{1, 2}},
 		{"not beyond the bound of a read", 1, []ident.Offset{12, 24, 33, 41}, 26_400, []ident.Offset{1, 12, 24}},
 	}
 	for _, tc := range cases {
@@ -253,21 +253,21 @@
 }
 
 // panickingLog is a log whose first read panics.
-type panicking struct {
-	stream
+type panickingLog struct {
+	fakeLog
 	panicked sync.Once
 }
 
-func (p *panicking) ReadSome(ctx context.Context, stream ident.Stream, from ident.Offset, most int, wait clock.Millis) (tail.Batch, error) {
+func (p *panickingLog) ReadSome(ctx context.Context, stream ident.Stream, from ident.Offset, most int, wait clock.Millis) (tail.Batch, error) {
 	p.panicked.Do(func() { panic("a defect") })
-	return p.stream.ReadSome(ctx, stream, from, most, wait)
+	return p.fakeLog.ReadSome(ctx, stream, from, most, wait)
 }
 
 func TestReadThatPanics(t *testing.T) {
-	log := &panicking{stream: stream{first: 1, last: 9, size: 100}}
+	log := &panickingLog{fakeLog: fakeLog{first: 1, last: 9, size: 100}}
 	store := &Store{Reader: log, Clock: clock.New(), CacheBytes: 1 << 20}
 	t.Run("its records can be read again", func(t *testing.T) {
-		texts, err := store.Texts(t.Context(), textsAt(1), noLimit, later)
+		texts, err := store.Texts(t.Context(), textsAt(1), noLimit, longTerm)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -284,23 +284,23 @@
 }
 
 func TestLogThatRefusesIsNotAskedAtOnce(t *testing.T) {
-	log := &stream{fail: errors.New("busy")}
-	store := storeOf(log)
+	log := &fakeLog{fail: errors.New("busy")}
+	store := newStore(log)
 	began := store.Clock.Mono()
-	_, err := store.Texts(t.Context(), textsAt(1), noLimit, later)
+	_, err := store.Texts(t.Context(), textsAt(1), noLimit, longTerm)
 	if took := store.Clock.Mono() - began; fault.KindOf[Kind](err) != Unavailable || took < clock.Second {
 		t.Errorf("error %v after %d ms, want Unavailable after a second and more", err, took)
 	}
 }
 
 func TestFirstTextIsGivenWhateverItsSize(t *testing.T) {
-	log := &stream{first: 1, last: 9, size: 1000}
-	store := storeOf(log)
+	log := &fakeLog{first: 1, last: 9, size: 1000}
+	store := newStore(log)
 	long := [][]jobs.Span{{{Stream: "texts.0", First: 1, Count: 4}}, {{Stream: "texts.0", First: 5, Count: 1}}}
 	for _, name := range []string{"from the log", "from memory"} {
 		t.Run(name, func(t *testing.T) {
 			const most = 2500
-			texts, err := store.Texts(t.Context(), long, most, later)
+			texts, err := store.Texts(t.Context(), long, most, longTerm)
 			if err != nil || len(texts) == 0 || len(texts[0]) != 4*log.size {
 				t.Errorf("%d texts, error %v, want the first one", len(texts), err)
 			}
@@ -309,15 +309,15 @@
 }
 
 func TestSilentStreamKeepsNoOtherOut(t *testing.T) {
-	silent := &stream{hold: make(chan struct{})}
-	sound := &stream{first: 1, last: 99, size: 100}
-	store := &Store{Reader: twoStreams{silent: silent, sound: sound}, Clock: clock.New(), CacheBytes: 1 << 20}
+	silent := &fakeLog{hold: make(chan struct{})}
+	healthy := &fakeLog{first: 1, last: 99, size: 100}
+	store := &Store{Reader: twoStreams{silent: silent, healthy: healthy}, Clock: clock.New(), CacheBytes: 1 << 20}
 	ctx, cancel := context.WithTimeout(t.Context(), (3 * clock.Second).Duration())
 	defer cancel()
 	var group conc.WaitGroup
 	for n := range 8 {
 		group.Go(func() {
-			_, _ = store.Texts(ctx, [][]jobs.Span{{{Stream: "silent.0", First: ident.Offset(1 + 100*n), Count: 1}}}, noLimit, soon)
+			_, _ = store.Texts(ctx, [][]jobs.Span{{{Stream: "silent.0", First: ident.Offset(1 + 100*n), Count: 1}}}, noLimit, shortTerm)
 		})
 	}
 	store.Clock.Sleep(ctx, 100)
@@ -334,18 +334,18 @@
 }
 
 // twoStreams is a log with a stream that does not answer and a healthy one.
-type twoStreams struct{ silent, sound *stream }
+type twoStreams struct{ silent, healthy *fakeLog }
 
 func (l twoStreams) ReadSome(ctx context.Context, name ident.Stream, from ident.Offset, most int, wait clock.Millis) (tail.Batch, error) {
 	if name == "silent.0" {
 		return l.silent.ReadSome(ctx, name, from, most, wait)
 	}
-	return l.sound.ReadSome(ctx, name, from, most, wait)
+	return l.healthy.ReadSome(ctx, name, from, most, wait)
 }
 
 func TestNothingBeginsAfterTheStop(t *testing.T) {
-	log := &stream{first: 1, last: 99, size: 100}
-	store := storeOf(log)
+	log := &fakeLog{first: 1, last: 99, size: 100}
+	store := newStore(log)
 	var group conc.WaitGroup
 	for n := range 50 {
 		group.Go(func() {
@@ -363,9 +363,9 @@
 }
 
 func TestPauseEndsWithTheTerm(t *testing.T) {
-	log := &stream{first: 1, last: 900, size: 100}
-	store := storeOf(log)
-	if _, err := store.Texts(t.Context(), textsAt(1), noLimit, later); err != nil {
+	log := &fakeLog{first: 1, last: 900, size: 100}
+	store := newStore(log)
+	if _, err := store.Texts(t.Context(), textsAt(1), noLimit, longTerm); err != nil {
 		t.Fatal(err)
 	}
 	log.fail = errors.New("busy")
--- a/croftmoor/blobs/peer.go
+++ b/croftmoor/blobs/peer.go
@@ -14,7 +14,7 @@
 const (
 	heldPath = "/croftmoor.Blobs/Held"
 	// fetchTimeout bounds a fetch from another instance, also from one that is unreachable.
-	fetchTerm = 300 * clock.Millis(1)
+	fetchTimeout = 300 * clock.Millis(1)
 )
 
 type spanWire struct {
@@ -35,23 +35,23 @@
 // of the log are immutable, so a cached copy is always current. The error is Unavailable if
 // neither cache has the whole blob or the other instance does not answer in time.
 func (s *Store) FetchFrom(ctx context.Context, from ident.Address, span jobs.Span) ([]byte, error) {
-	if data, ok := s.held(span); ok {
+	if data, ok := s.cachedBlob(span); ok {
 		return data, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, fetchTerm.Duration())
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout.Duration())
 	defer cancel()
-	answer, err := rpcs.Call[spanWire, blobWire](ctx, s.client, from, heldPath, &spanWire{Stream: string(span.Stream), First: int64(span.First), Count: span.Count})
+	response, err := rpcs.Call[spanWire, blobWire](ctx, s.client, from, heldPath, &spanWire{Stream: string(span.Stream), First: int64(span.First), Count: span.Count})
 	if err != nil {
 		return nil, fault.Wrap("blobs.FetchFrom", Unavailable, err, "fetch from "+string(from))
 	}
-	return answer.Data, nil
+	return response.Data, nil
 }
 
 // cachedBlob returns a blob if all its records are in the cache.
-func (s *Store) held(span jobs.Span) ([]byte, bool) {
+func (s *Store) cachedBlob(span jobs.Span) ([]byte, bool) {
 	var blob []byte
 	for i := range span.Count {
-		record, ok := s.lookup(place{stream: span.Stream, offset: span.First + ident.Offset(i)})
+		record, ok := s.lookup(position{stream: span.Stream, offset: span.First + ident.Offset(i)})
 		if !ok {
 			return nil, false
 		}
@@ -62,9 +62,9 @@
 
 // Handle registers the endpoint that serves blobs from this instance's cache to others.
 func Handle(mux *http.ServeMux, s *Store) {
-	refused := func(err error) error { return rpcs.WithKind(err, string(fault.KindOf[Kind](err))) }
-	rpcs.Handle(mux, heldPath, refused, func(_ context.Context, w *spanWire) (*blobWire, error) {
-		data, ok := s.held(jobs.Span{Stream: ident.Stream(w.Stream), First: ident.Offset(w.First), Count: w.Count})
+	withKind := func(err error) error { return rpcs.WithKind(err, string(fault.KindOf[Kind](err))) }
+	rpcs.Handle(mux, heldPath, withKind, func(_ context.Context, w *spanWire) (*blobWire, error) {
+		data, ok := s.cachedBlob(jobs.Span{Stream: ident.Stream(w.Stream), First: ident.Offset(w.First), Count: w.Count})
 		if !ok {
 			return nil, fault.New("blobs.Held", Unavailable, "blob is not in the cache, stream "+w.Stream)
 		}
--- a/croftmoor/blobs/peer_test.go
+++ b/croftmoor/blobs/peer_test.go
@@ -26,7 +26,7 @@
 }
 
 // servePeer serves a store's cache over HTTP and returns the address.
-func peerWith(t *testing.T, s *Store) ident.Address {
+func servePeer(t *testing.T, s *Store) ident.Address {
 	t.Helper()
 	mux := http.NewServeMux()
 	Handle(mux, s)
@@ -41,11 +41,11 @@
 	log := &oneRecord{}
 	holder := &Store{Reader: log, Clock: clock.New(), CacheBytes: 1 << 10}
 	span := jobs.Span{Stream: "bodies.0", First: 1, Count: 1}
-	from := peerWith(t, holder)
-	asker := &Store{}
-	asker.Setup()
+	from := servePeer(t, holder)
+	requester := &Store{}
+	requester.Setup()
 	t.Run("what the other has not read is not handed out, nor read for it", func(t *testing.T) {
-		if _, err := asker.FetchFrom(t.Context(), from, span); fault.KindOf[Kind](err) != Unavailable || log.reads != 0 {
+		if _, err := requester.FetchFrom(t.Context(), from, span); fault.KindOf[Kind](err) != Unavailable || log.reads != 0 {
 			t.Errorf("error %v, %d reads, want Unavailable and none", err, log.reads)
 		}
 	})
@@ -53,13 +53,13 @@
 		if _, err := holder.Get(t.Context(), span); err != nil {
 			t.Fatal(err)
 		}
-		data, err := asker.FetchFrom(t.Context(), from, span)
+		data, err := requester.FetchFrom(t.Context(), from, span)
 		if err != nil || string(data) != "body" {
 			t.Errorf("%q, error %v", data, err)
 		}
 	})
 	t.Run("one that is gone costs a short wait", func(t *testing.T) {
-		if _, err := asker.FetchFrom(t.Context(), "127.0.0.1:1", span); fault.KindOf[Kind](err) != Unavailable {
+		if _, err := requester.FetchFrom(t.Context(), "127.0.0.1:1", span); fault.KindOf[Kind](err) != Unavailable {
 			t.Errorf("error %v, want Unavailable", err)
 		}
 	})
--- a/croftmoor/blobs/plan.go
+++ b/croftmoor/blobs/plan.go
@@ -9,12 +9,12 @@
 const (
 	// minReadBytes is the least that one read asks for. It is small because a caller that runs
 	// one item seldom needs its neighbours, and all instances share the log's read throughput.
-	leastRead = 16 << 10
+	minReadBytes = 16 << 10
 	// maxReadBytes limits one read, so that its first records arrive soon over a slow link.
-	mostRead = 128 << 10
+	maxReadBytes = 128 << 10
 	// maxGapBytes is the most unwanted bytes between two wanted records of one read; a
 	// wider gap takes a separate read.
-	mostGap = 12 << 10
+	maxGapBytes = 12 << 10
 	// marginPercent is added to the expected size of the records of a read.
 	marginPercent = 10
 	percent       = 100
@@ -31,7 +31,7 @@
 // extentFor returns the extent that begins at offset and covers those of the other offsets
 // after it that fit into maxBytes without a gap wider than maxGapBytes. recordBytes is the
 // expected size of a record.
-func extentFor(offset ident.Offset, others []ident.Offset, record, most int) extent {
+func extentFor(offset ident.Offset, others []ident.Offset, recordBytes, maxBytes int) extent {
 	sorted := slices.Clone(others)
 	slices.Sort(sorted)
 	at, found := slices.BinarySearch(sorted, offset)
@@ -39,10 +39,10 @@
 		sorted = slices.Insert(sorted, at, offset)
 	}
 	end := at + 1
-	for end < len(sorted) && int(sorted[end]-offset+1)*record <= most && int(sorted[end]-sorted[end-1]-1)*record <= mostGap {
+	for end < len(sorted) && int(sorted[end]-offset+1)*recordBytes <= maxBytes && int(sorted[end]-sorted[end-1]-1)*recordBytes <= maxGapBytes {
 		end++
 	}
 	wanted := sorted[at:end]
-	expected := int(wanted[len(wanted)-1]-offset+1) * record
-	return extent{first: offset, bytes: min(max(expected+expected*marginPercent/percent, leastRead), most), wanted: wanted}
+	expectedBytes := int(wanted[len(wanted)-1]-offset+1) * recordBytes
+	return extent{first: offset, bytes: min(max(expectedBytes+expectedBytes*marginPercent/percent, minReadBytes), maxBytes), wanted: wanted}
 }
--- a/croftmoor/blobs/read.go
+++ b/croftmoor/blobs/read.go
@@ -15,9 +15,9 @@
 const (
 	readTimeout = 1500 * clock.Millis(1)
 	// defaultRecordSize is the expected size in bytes of a record of an unread stream.
-	firstSize = 2 << 10
+	defaultRecordSize = 2 << 10
 	// recordSizeWeight is the weight of the old average against one new read.
-	sizeWeight = 3
+	recordSizeWeight = 3
 )
 
 // read is one read of the log, shared by all callers that want its records. A running read
@@ -26,11 +26,11 @@
 	extent
 	stream ident.Stream
 	// waiters counts the callers that wait for the read.
-	waiting atomic.Int64
+	waiters atomic.Int64
 	// urgent means that a caller needs this read for its first missing record; inWindow means
 	// that its bytes count against the window. The store's mu guards both.
-	awaited bool
-	held    bool
+	urgent   bool
+	inWindow bool
 	// done is closed after the fields below are set.
 	done    chan struct{}
 	records []tail.Record
@@ -48,7 +48,7 @@
 	}
 }
 
-func (r *read) isFor(p place) bool {
+func (r *read) covers(p position) bool {
 	return p.stream == r.stream && slices.Contains(r.wanted, p.offset)
 }
 
@@ -67,10 +67,10 @@
 // if a read has panicked.
 func (s *Store) Stop() {
 	s.mu.Lock()
-	s.prepare()
+	s.initialize()
 	s.stopped = true
 	s.cancel()
-	s.pump()
+	s.startQueued()
 	s.mu.Unlock()
 	s.group.Wait()
 }
@@ -78,13 +78,13 @@
 // joinReads returns at most limit reads for missing positions, in their order: existing reads
 // of other callers, or new ones. It stops at a position that is in the cache by now. It counts
 // the caller as a waiter of each read, and marks the first one as urgent if urgent is set.
-func (s *Store) join(missing []place, most int, awaited bool) []*read {
+func (s *Store) joinReads(missing []position, limit int, urgent bool) []*read {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.prepare()
+	s.initialize()
 	var joined []*read
 	for _, p := range missing {
-		if _, came := s.cache[p]; came || len(joined) >= most {
+		if _, cached := s.cache[p]; cached || len(joined) >= limit {
 			break
 		}
 		r, known := s.reads[p]
@@ -93,27 +93,27 @@
 			s.queue = append(s.queue, r)
 		}
 		if !slices.Contains(joined, r) {
-			r.waiting.Add(1)
+			r.waiters.Add(1)
 			joined = append(joined, r)
 		}
 	}
-	if awaited && len(joined) > 0 {
-		joined[0].awaited = true
+	if urgent && len(joined) > 0 {
+		joined[0].urgent = true
 	}
-	s.pump()
+	s.startQueued()
 	return joined
 }
 
 // prioritize marks a read as urgent once a caller needs it for its first missing record.
-func (s *Store) hasten(r *read) {
+func (s *Store) prioritize(r *read) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.awaited = true
+	r.urgent = true
 }
 
 // newRead registers a read for a position and for the missing ones after it that fit into the
 // same read and that no other read covers. The caller holds mu.
-func (s *Store) newRead(first place, missing []place) *read {
+func (s *Store) newRead(first position, missing []position) *read {
 	var offsets []ident.Offset
 	for _, p := range missing {
 		if p.stream == first.stream && s.reads[p] == nil {
@@ -121,55 +121,55 @@
 		}
 	}
 	r := &read{
-		extent: extentFor(first.offset, offsets, s.size(first.stream), s.window.mostPerRead()),
+		extent: extentFor(first.offset, offsets, s.recordSize(first.stream), s.window.readLimit()),
 		stream: first.stream, done: make(chan struct{}),
 	}
 	for _, offset := range r.wanted {
-		s.reads[place{stream: r.stream, offset: offset}] = r
+		s.reads[position{stream: r.stream, offset: offset}] = r
 	}
 	return r
 }
 
 // startQueued starts queued reads while the window has room, urgent ones first. It drops
 // queued reads without waiters, and all of them after Stop. The caller holds mu.
-func (s *Store) pump() {
+func (s *Store) startQueued() {
 	s.queue = slices.DeleteFunc(s.queue, func(r *read) bool {
-		if !s.stopped && r.waiting.Load() > 0 {
+		if !s.stopped && r.waiters.Load() > 0 {
 			return false
 		}
 		r.err = fault.New("blobs.read", Unavailable, "read canceled before it started")
-		s.settle(r)
+		s.finish(r)
 		return true
 	})
 	for len(s.queue) > 0 {
-		next := max(slices.IndexFunc(s.queue, func(r *read) bool { return r.awaited }), 0)
+		next := max(slices.IndexFunc(s.queue, func(r *read) bool { return r.urgent }), 0)
 		r := s.queue[next]
-		if !s.window.take(r.bytes) {
+		if !s.window.tryAcquire(r.bytes) {
 			return
 		}
-		r.held = true
+		r.inWindow = true
 		s.queue = slices.Delete(s.queue, next, next+1)
-		s.group.Go(func() { s.do(r) })
+		s.group.Go(func() { s.execute(r) })
 	}
 }
 
 // execute runs a read. It finishes the read even after a panic, so that later reads can cover
 // its positions.
-func (s *Store) do(r *read) {
-	began := s.Clock.Mono()
+func (s *Store) execute(r *read) {
+	start := s.Clock.Mono()
 	r.err = fault.New("blobs.read", Unavailable, "read ended without a result")
-	late := s.Clock.AfterFunc(slowRead, func() { s.release(r) })
+	slowTimer := s.Clock.AfterFunc(slowReadTime, func() { s.releaseWindow(r) })
 	defer func() {
-		late.Stop()
-		s.release(r)
+		slowTimer.Stop()
+		s.releaseWindow(r)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.window.learn(r.bytes, s.Clock.Mono()-began, r.err == nil)
-		s.keep(r)
-		s.settle(r)
-		s.pump()
+		s.window.update(r.bytes, s.Clock.Mono()-start, r.err == nil)
+		s.addToCache(r)
+		s.finish(r)
+		s.startQueued()
 	}()
-	ctx, cancel := context.WithTimeout(s.base, readTimeout.Duration())
+	ctx, cancel := context.WithTimeout(s.baseCtx, readTimeout.Duration())
 	defer cancel()
 	batch, err := s.Reader.ReadSome(ctx, r.stream, r.first, r.bytes, 0)
 	r.records, r.oldest, r.err = batch.Records, batch.First, err
@@ -177,39 +177,39 @@
 
 // releaseWindow returns a read's room in the window; further calls have no effect. A slow read
 // returns its room before it ends, because reads that hang would otherwise block all others.
-func (s *Store) release(r *read) {
+func (s *Store) releaseWindow(r *read) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !r.held {
+	if !r.inWindow {
 		return
 	}
-	r.held = false
-	s.window.give(r.bytes)
-	s.pump()
+	r.inWindow = false
+	s.window.release(r.bytes)
+	s.startQueued()
 }
 
 // finish ends a read and unregisters its positions. The caller holds mu.
-func (s *Store) settle(r *read) {
+func (s *Store) finish(r *read) {
 	for _, offset := range r.wanted {
-		delete(s.reads, place{stream: r.stream, offset: offset})
+		delete(s.reads, position{stream: r.stream, offset: offset})
 	}
 	close(r.done)
 }
 
 // initialize creates the maps, the window and the context at first use. The caller holds mu.
-func (s *Store) prepare() {
+func (s *Store) initialize() {
 	if s.reads != nil {
 		return
 	}
-	s.cache = map[place][]byte{}
-	s.reads = map[place]*read{}
-	s.sizes = map[ident.Stream]int{}
+	s.cache = map[position][]byte{}
+	s.reads = map[position]*read{}
+	s.recordSizes = map[ident.Stream]int{}
 	s.window = newWindow()
-	s.base, s.cancel = context.WithCancel(context.Background())
+	s.baseCtx, s.cancel = context.WithCancel(context.Background())
 }
 
 // updateRecordSize updates the moving average of a stream's record size. The caller holds mu.
-func (s *Store) learn(r *read) {
+func (s *Store) updateRecordSize(r *read) {
 	if len(r.records) == 0 {
 		return
 	}
@@ -217,14 +217,14 @@
 	for _, record := range r.records {
 		bytes += len(record.Data) + recordOverhead
 	}
-	s.sizes[r.stream] = (s.size(r.stream)*sizeWeight + bytes/len(r.records)) / (sizeWeight + 1)
+	s.recordSizes[r.stream] = (s.recordSize(r.stream)*recordSizeWeight + bytes/len(r.records)) / (recordSizeWeight + 1)
 }
 
 // recordSize returns the expected bytes of a record of a stream, at least 1. The caller holds
 // mu.
-func (s *Store) size(stream ident.Stream) int {
-	if size, known := s.sizes[stream]; known {
+func (s *Store) recordSize(stream ident.Stream) int {
+	if size, known := s.recordSizes[stream]; known {
 		return max(size, 1)
 	}
-	return firstSize
+	return defaultRecordSize
 }
--- a/croftmoor/blobs/window_test.go
+++ b/croftmoor/blobs/window_test.go
@@ -8,51 +8,51 @@
 
 func wantWindow(t *testing.T, w window, want int) {
 	t.Helper()
-	if w.bytes != want {
-		t.Errorf("a window of %d bytes, want %d", w.bytes, want)
+	if w.limit != want {
+		t.Errorf("a window of %d bytes, want %d", w.limit, want)
 	}
 }
 
 func TestWindow(t *testing.T) {
 	cases := []struct {
-		name string
-		took clock.Millis
-		ok   bool
-		want int
+		name    string
+		latency clock.Millis
+		ok      bool
+		want    int
 	}{
-		{"quick reads widen it", 60, true, firstWindow + leastRead},
-		{"a log at sixty times its time is quick enough", 240, true, firstWindow + leastRead},
-		{"others leave it", quickRead, true, firstWindow},
-		{"slow reads halve it", slowRead, true, firstWindow / 2},
-		{"reads that fail as well", 5, false, firstWindow / 2},
+		{"quick reads widen it", 60, true, initialWindowBytes + minReadBytes},
+		{"a log at sixty times its time is quick enough", 240, true, initialWindowBytes + minReadBytes},
+		{"others leave it", fastReadTime, true, initialWindowBytes},
+		{"slow reads halve it", slowReadTime, true, initialWindowBytes / 2},
+		{"reads that fail as well", 5, false, initialWindowBytes / 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWindow()
-			w.take(leastRead)
-			w.give(leastRead)
-			w.learn(leastRead, tc.took, tc.ok)
+			w.tryAcquire(minReadBytes)
+			w.release(minReadBytes)
+			w.update(minReadBytes, tc.latency, tc.ok)
 			wantWindow(t, w, tc.want)
 		})
 	}
 	t.Run("it has bounds", func(t *testing.T) {
 		w := newWindow()
 		for range 1000 {
-			w.take(mostRead)
-			w.give(mostRead)
-			w.learn(mostRead, 1, true)
+			w.tryAcquire(maxReadBytes)
+			w.release(maxReadBytes)
+			w.update(maxReadBytes, 1, true)
 		}
-		wantWindow(t, w, mostWindow)
+		wantWindow(t, w, maxWindowBytes)
 		for range 1000 {
-			w.take(leastRead)
-			w.give(leastRead)
-			w.learn(leastRead, readTimeout, false)
+			w.tryAcquire(minReadBytes)
+			w.release(minReadBytes)
+			w.update(minReadBytes, readTimeout, false)
 		}
-		wantWindow(t, w, leastWindow)
+		wantWindow(t, w, minWindowBytes)
 	})
 	t.Run("it is full when its bytes are under way, and has room for one read of any size", func(t *testing.T) {
 		w := newWindow()
-		if !w.take(2*firstWindow) || w.take(1) {
+		if !w.tryAcquire(2*initialWindowBytes) || w.tryAcquire(1) {
 			t.Error("want room for one large read, and none beside it")
 		}
 	})
