--- a/croftmoor/blobs/blobs.go
+++ b/croftmoor/blobs/blobs.go
@@ -53,7 +53,7 @@
 	Writer Writer
 	Clock  *clock.Clock
 	// Partitions is the number of streams of a family.
-	Parts int
+	Partitions int
 	// RecordBytes and AppendBytes limit the size of a record and of an append. A blob larger
 	// than AppendBytes is still written in one append.
 	RecordBytes int
@@ -96,7 +96,7 @@
 
 // StreamOf returns the stream of a family that holds a job's blobs.
 func (s *Store) StreamOf(family Family, job ident.Job) ident.Stream {
-	part := ident.Hash(string(job)) % uint64(max(s.Parts, 1))
+	part := ident.Hash(string(job)) % uint64(max(s.Partitions, 1))
 	return ident.Stream(string(family) + "." + strconv.FormatUint(part, 10))
 }
 
