--- a/croftmoor/blobs/blobs.go
+++ b/croftmoor/blobs/blobs.go
@@ -96,8 +96,8 @@
 
 // StreamOf returns the stream of a family that holds a job's blobs.
 func (s *Store) StreamOf(family Family, job ident.Job) ident.Stream {
-	part := ident.Hash(string(job)) % uint64(max(s.Partitions, 1))
-	return ident.Stream(string(family) + "." + strconv.FormatUint(part, 10))
+	partition := ident.Hash(string(job)) % uint64(max(s.Partitions, 1))
+	return ident.Stream(string(family) + "." + strconv.FormatUint(partition, 10))
 }
 
 // Put appends blobs and returns the span of each. Without an error all are
--- a/croftmoor/blobs/gather_test.go
+++ b/croftmoor/blobs/gather_test.go
@@ -191,7 +191,7 @@
 	t.Run("what comes when its caller has left is there for the next one", func(t *testing.T) {
 		log := &fakeLog{first: 1, last: 9, size: 100, hold: make(chan struct{}), asked: make(chan ident.Offset, 9)}
 		store := newStore(log)
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		var group conc.WaitGroup
 		group.Go(func() {
 			if _, err := store.Texts(ctx, textsAt(1), noLimit, longTerm); fault.KindOf[Kind](err) != Unavailable {
@@ -199,7 +199,7 @@
 			}
 		})
 		<-log.asked
-		leave()
+		cancel()
 		group.Wait()
 		close(log.hold)
 		store.group.Wait()
@@ -286,10 +286,10 @@
 func TestLogThatRefusesIsNotAskedAtOnce(t *testing.T) {
 	log := &fakeLog{fail: errors.New("busy")}
 	store := newStore(log)
-	began := store.Clock.Mono()
+	start := store.Clock.Mono()
 	_, err := store.Texts(t.Context(), textsAt(1), noLimit, longTerm)
-	if took := store.Clock.Mono() - began; fault.KindOf[Kind](err) != Unavailable || took < clock.Second {
-		t.Errorf("error %v after %d ms, want Unavailable after a second and more", err, took)
+	if elapsed := store.Clock.Mono() - start; fault.KindOf[Kind](err) != Unavailable || elapsed < clock.Second {
+		t.Errorf("error %v after %d ms, want Unavailable after a second and more", err, elapsed)
 	}
 }
 
@@ -322,10 +322,10 @@
 	}
 	store.Clock.Sleep(ctx, 100)
 	for n := range 5 {
-		began := store.Clock.Mono()
+		start := store.Clock.Mono()
 		_, err := store.Get(ctx, jobs.Span{Stream: "texts.0", First: ident.Offset(1 + n), Count: 1})
-		if took := store.Clock.Mono() - began; err != nil || took > clock.Second {
-			t.Errorf("error %v after %d ms, want the blob within a second", err, took)
+		if elapsed := store.Clock.Mono() - start; err != nil || elapsed > clock.Second {
+			t.Errorf("error %v after %d ms, want the blob within a second", err, elapsed)
 		}
 	}
 	cancel()
@@ -370,9 +370,9 @@
 	}
 	log.fail = errors.New("busy")
 	const term = 200 * clock.Millis(1)
-	began := store.Clock.Mono()
+	start := store.Clock.Mono()
 	texts, err := store.Texts(t.Context(), textsAt(1, 800), noLimit, term)
-	if took := store.Clock.Mono() - began; err != nil || len(texts) != 1 || took > term+100 {
-		t.Errorf("%d texts after %d ms, error %v, want one after %d", len(texts), took, err, term)
+	if elapsed := store.Clock.Mono() - start; err != nil || len(texts) != 1 || elapsed > term+100 {
+		t.Errorf("%d texts after %d ms, error %v, want one after %d", len(texts), elapsed, err, term)
 	}
 }
