--- a/croftmoor/blobs/blobs.go
+++ b/croftmoor/blobs/blobs.go
@@ -65,7 +65,7 @@
 	// group tracks the running reads.
 	group conc.WaitGroup
 
-	// mu guards all fields below.
+	// mu guards the fields below, except that a running read uses baseCtx without it.
 	mu             sync.Mutex
 	cache          map[position][]byte
 	insertionOrder []position
@@ -180,8 +180,8 @@
 	return missing
 }
 
-// addToCache adds a read's records to the cache and evicts the oldest additions beyond
-// CacheBytes. The caller holds mu.
+// addToCache adds a read's records to the cache, evicts the oldest additions beyond
+// CacheBytes, and updates the average record size. The caller holds mu.
 func (s *Store) addToCache(r *read) {
 	for _, record := range r.records {
 		p := position{stream: r.stream, offset: record.Offset}
--- a/croftmoor/blobs/gather.go
+++ b/croftmoor/blobs/gather.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// blobAttempts and textAttempts limit the attempts to read the first missing record.
+	// blobAttempts and textAttempts limit the consecutive reads for the first missing record
+	// that return no records.
 	// Callers of Get can fall back to FetchFrom; callers of Texts have no fallback.
 	blobAttempts = 3
 	textAttempts = 6
@@ -35,10 +36,11 @@
 	return g.concat(0, span.Count), nil
 }
 
-// Texts reads texts; the parts of a text are joined by line feeds. It returns the longest
-// prefix of texts that is complete when that prefix has maxBytes bytes or when term has
-// elapsed. If the first text is not complete by then, Texts waits for it until ctx ends.
-// The error is Gone or Unavailable, as for Get, and is returned only if no text is complete.
+// Texts reads texts; the parts of a text are joined by line feeds. It returns the
+// complete texts before the first incomplete one, once all texts are read, at least maxBytes
+// bytes have been read in order, term has elapsed, or an error occurs. It waits for the first
+// text beyond term, until ctx ends. The error is Gone or Unavailable, as for Get, and is
+// returned only if the first text is not complete.
 //
 // Texts runs a few large reads in parallel and returns partial results, because reading the
 // texts one after another can take longer than callers wait.
@@ -93,8 +95,8 @@
 type gatherer struct {
 	store  *Store
 	wanted []position
-	// maxBytes limits the bytes to read, except that the first minRecords records are always
-	// read; 0 means no limit.
+	// maxBytes is the approximate limit of the bytes to read, except that the first minRecords
+	// records are always read; 0 means no limit.
 	maxBytes    int
 	minRecords  int
 	maxAttempts int
@@ -182,7 +184,8 @@
 }
 
 // startReads joins or queues reads for the missing positions, up to maxReadsPerCaller; a read
-// for the first position may exceed that number. It returns the read for the first position, or nil if its record is in the cache by now.
+// for the first position may exceed that number. It returns the read for the first position,
+// or nil if its record is in the cache by now.
 func (g *gatherer) startReads(missing []position) *read {
 	covered := map[position]bool{}
 	var next *read
@@ -209,12 +212,12 @@
 	return next
 }
 
-// checkRead returns Gone if the log has dropped the wanted record, Unavailable if the last
-// attempt has failed, and nil if the caller goes on.
+// checkRead returns Gone if the log has dropped the wanted record, Unavailable after
+// maxAttempts consecutive failures, and nil if the caller should continue.
 func (g *gatherer) checkRead(r *read, wanted position) error {
 	switch {
 	case r.err == nil && wanted.offset < r.oldest:
-		return fault.New("blobs.gather", Gone, "the log has dropped "+wanted.String()+", its first offset is "+strconv.FormatInt(int64(r.oldest), 10))
+		return fault.New("blobs.gather", Gone, "the log has dropped "+wanted.String()+"; the stream now begins at offset "+strconv.FormatInt(int64(r.oldest), 10))
 	case len(r.records) > 0:
 		g.failures = 0
 		return nil
--- a/croftmoor/blobs/gather_test.go
+++ b/croftmoor/blobs/gather_test.go
@@ -18,7 +18,7 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// fakeLog is a log of one fakeLog with the records first to last, of size bytes each. A record
+// fakeLog is a log of one stream with the records first to last, each of size bytes. A record
 // begins with its offset.
 type fakeLog struct {
 	first, last ident.Offset
--- a/croftmoor/blobs/peer_test.go
+++ b/croftmoor/blobs/peer_test.go
@@ -15,7 +15,7 @@
 	"croftmoor.dev/kernel/tail"
 )
 
-// oneRecord is a log with one record that counts its reads.
+// oneRecord is a log that has one record and counts reads.
 type oneRecord struct {
 	reads int
 }
--- a/croftmoor/blobs/plan.go
+++ b/croftmoor/blobs/plan.go
@@ -12,25 +12,25 @@
 	minReadBytes = 16 << 10
 	// maxReadBytes limits one read, so that its first records arrive soon over a slow link.
 	maxReadBytes = 128 << 10
-	// maxGapBytes is the most unwanted bytes between two wanted records of one read; a
-	// wider gap takes a separate read.
+	// maxGapBytes is the most unwanted bytes between two wanted records of one read. Up to
+	// this size, reading the gap costs less than another call to the log.
 	maxGapBytes = 12 << 10
 	// marginPercent is added to the expected size of the records of a read.
 	marginPercent = 10
 	percent       = 100
 )
 
-// extent is the range of one read: about bytes bytes from the offset first. The wanted offsets
-// are in ascending order.
+// extent is the range of one read: it starts at offset first and asks for bytes. The offsets of
+// the wanted records are in ascending order.
 type extent struct {
 	first  ident.Offset
 	bytes  int
 	wanted []ident.Offset
 }
 
-// extentFor returns the extent that begins at offset and covers those of the other offsets
-// after it that fit into maxBytes without a gap wider than maxGapBytes. recordBytes is the
-// expected size of a record.
+// extentFor returns the extent that begins at offset and covers the following offsets of
+// others, up to the first that exceeds maxBytes or lies beyond a gap wider than maxGapBytes.
+// recordBytes is the expected size of a record.
 func extentFor(offset ident.Offset, others []ident.Offset, recordBytes, maxBytes int) extent {
 	sorted := slices.Clone(others)
 	slices.Sort(sorted)
--- a/croftmoor/blobs/read.go
+++ b/croftmoor/blobs/read.go
@@ -16,7 +16,7 @@
 	readTimeout = 1500 * clock.Millis(1)
 	// defaultRecordSize is the expected size in bytes of a record of an unread stream.
 	defaultRecordSize = 2 << 10
-	// recordSizeWeight is the weight of the old average against one new read.
+	// recordSizeWeight is the weight of the old average; a new read weighs 1.
 	recordSizeWeight = 3
 )
 
@@ -52,7 +52,8 @@
 	return p.stream == r.stream && slices.Contains(r.wanted, p.offset)
 }
 
-// record returns the record at an offset, if the read has returned it. The read has ended.
+// record returns the record at an offset, if the read has brought it. Call it only after the
+// read has ended.
 func (r *read) record(offset ident.Offset) ([]byte, bool) {
 	n, found := slices.BinarySearchFunc(r.records, offset, func(record tail.Record, wanted ident.Offset) int {
 		return cmp.Compare(record.Offset, wanted)
@@ -175,8 +176,8 @@
 	r.records, r.oldest, r.err = batch.Records, batch.First, err
 }
 
-// releaseWindow returns a read's room in the window; further calls have no effect. A slow read
-// returns its room before it ends, because reads that hang would otherwise block all others.
+// releaseWindow frees a read's room in the window; further calls have no effect. A slow read
+// frees its room before it ends, because reads that hang would otherwise block all others.
 func (s *Store) releaseWindow(r *read) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/croftmoor/blobs/window.go
+++ b/croftmoor/blobs/window.go
@@ -3,22 +3,24 @@
 import "croftmoor.dev/kernel/clock"
 
 const (
-	// minWindowBytes, initialWindowBytes and maxWindowBytes bound the sum of the bytes that
-	// running reads ask for.
+	// minWindowBytes and maxWindowBytes bound the window's limit; initialWindowBytes is its
+	// first value.
 	minWindowBytes     = 4 * minReadBytes
 	initialWindowBytes = 2 * minWindowBytes
 	maxWindowBytes     = 4 << 20
 	// A read faster than fastReadTime shows spare capacity and widens the window; one of
-	// slowReadTime or longer shows congestion and halves it.
+	// slowReadTime or longer shows congestion and halves it. A log whose own latency is at
+	// least fastReadTime cannot widen the window; at slowReadTime it counts as congested.
 	fastReadTime = 300 * clock.Millis(1)
 	slowReadTime = 500 * clock.Millis(1)
-	// minWindowReads is the number of reads of the largest size that fit into the window.
+	// minWindowReads is the least number of reads of readLimit bytes that fit into the window.
 	minWindowReads = 4
 )
 
-// window is a congestion window: it limits the bytes that running reads ask for together. It
-// grows while reads are fast, and a slow or failed read halves it. Without this limit, a link
-// or log that is overloaded lets all reads time out. The store's mu guards it.
+// window is a congestion window: it limits the bytes that running reads ask for together,
+// except those of reads that have run longer than slowReadTime. It grows while reads are fast,
+// and a slow or failed read halves it. Without this limit, all reads of an overloaded link or
+// log time out. The store's mu guards it.
 type window struct {
 	limit int
 	inUse int
@@ -39,7 +41,7 @@
 	return true
 }
 
-// release returns the room of a read.
+// release frees the room of a read.
 func (w *window) release(bytes int) { w.inUse -= bytes }
 
 // update adapts the window to a read that has ended.
