--- a/croftmoor/blobs/gather.go
+++ b/croftmoor/blobs/gather.go
@@ -15,8 +15,8 @@
 
 const (
 	// blobAttempts and textAttempts limit the consecutive reads for the first missing record
-	// that return no records.
-	// Callers of Get can fall back to FetchFrom; callers of Texts have no fallback.
+	// that return no records. Callers of Get can fall back to FetchFrom; callers of Texts have
+	// no fallback.
 	blobAttempts = 3
 	textAttempts = 6
 	// retryPause is the pause after a failed attempt; it doubles up to maxRetryPause.
@@ -36,8 +36,8 @@
 	return g.concat(0, span.Count), nil
 }
 
-// Texts reads texts; the parts of a text are joined by line feeds. It returns the
-// complete texts before the first incomplete one, once all texts are read, at least maxBytes
+// Texts reads texts; the parts of a text are joined by line feeds. It returns the complete
+// texts before the first incomplete one, once all texts are read, at least maxBytes
 // bytes have been read in order, term has elapsed, or an error occurs. It waits for the first
 // text beyond term, until ctx ends. The error is Gone or Unavailable, as for Get, and is
 // returned only if the first text is not complete.
@@ -190,7 +190,7 @@
 	covered := map[position]bool{}
 	var next *read
 	for _, r := range g.reads {
-		for _, offset := range r.wanted {
+		for _, offset := range r.offsets {
 			covered[position{stream: r.stream, offset: offset}] = true
 		}
 		if r.covers(missing[0]) {
--- a/croftmoor/blobs/gather_test.go
+++ b/croftmoor/blobs/gather_test.go
@@ -33,40 +33,40 @@
 	reads int
 }
 
-func (s *fakeLog) record(offset ident.Offset) []byte {
+func (l *fakeLog) record(offset ident.Offset) []byte {
 	text := fmt.Sprintf("%d.", offset)
-	return []byte(text + strings.Repeat("x", max(s.size-len(text), 0)))
+	return []byte(text + strings.Repeat("x", max(l.size-len(text), 0)))
 }
 
 // ReadSome returns the records from an offset on that fit, at least one.
-func (s *fakeLog) ReadSome(ctx context.Context, _ ident.Stream, from ident.Offset, most int, _ clock.Millis) (tail.Batch, error) {
-	s.mu.Lock()
-	s.reads++
-	s.mu.Unlock()
-	if s.asked != nil {
-		s.asked <- from
+func (l *fakeLog) ReadSome(ctx context.Context, _ ident.Stream, from ident.Offset, maxBytes int, _ clock.Millis) (tail.Batch, error) {
+	l.mu.Lock()
+	l.reads++
+	l.mu.Unlock()
+	if l.asked != nil {
+		l.asked <- from
 	}
-	if s.hold != nil {
+	if l.hold != nil {
 		select {
-		case <-s.hold:
+		case <-l.hold:
 		case <-ctx.Done():
 			return tail.Batch{}, ctx.Err()
 		}
 	}
-	if s.fail != nil {
-		return tail.Batch{}, s.fail
+	if l.fail != nil {
+		return tail.Batch{}, l.fail
 	}
-	batch := tail.Batch{First: s.first, Next: s.last + 1}
+	batch := tail.Batch{First: l.first, Next: l.last + 1}
 	bytes := 0
-	for at := max(from, s.first); at <= s.last && (bytes == 0 || bytes+s.size <= most); at++ {
-		batch.Records = append(batch.Records, tail.Record{Offset: at, Data: s.record(at)})
-		bytes += s.size
+	for at := max(from, l.first); at <= l.last && (bytes == 0 || bytes+l.size <= maxBytes); at++ {
+		batch.Records = append(batch.Records, tail.Record{Offset: at, Data: l.record(at)})
+		bytes += l.size
 	}
 	return batch, nil
 }
 
-func newStore(s *fakeLog) *Store {
-	return &Store{Reader: s, Clock: clock.New(), CacheBytes: 1 << 20}
+func newStore(log *fakeLog) *Store {
+	return &Store{Reader: log, Clock: clock.New(), CacheBytes: 1 << 20}
 }
 
 // textsAt returns texts of one record each.
@@ -245,7 +245,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			got := extentFor(tc.offset, tc.others, record, 32*record)
-			if got.first != tc.offset || got.bytes != tc.bytes || !slices.Equal(got.wanted, tc.wanted) {
+			if got.first != tc.offset || got.bytes != tc.bytes || !slices.Equal(got.offsets, tc.wanted) {
 				t.Errorf("%+v, want %d bytes for %v", got, tc.bytes, tc.wanted)
 			}
 		})
@@ -258,9 +258,9 @@
 	panicked sync.Once
 }
 
-func (p *panickingLog) ReadSome(ctx context.Context, stream ident.Stream, from ident.Offset, most int, wait clock.Millis) (tail.Batch, error) {
+func (p *panickingLog) ReadSome(ctx context.Context, stream ident.Stream, from ident.Offset, maxBytes int, wait clock.Millis) (tail.Batch, error) {
 	p.panicked.Do(func() { panic("a defect") })
-	return p.fakeLog.ReadSome(ctx, stream, from, most, wait)
+	return p.fakeLog.ReadSome(ctx, stream, from, maxBytes, wait)
 }
 
 func TestReadThatPanics(t *testing.T) {
@@ -336,11 +336,11 @@
 // twoStreams is a log with a stream that does not answer and a healthy one.
 type twoStreams struct{ silent, healthy *fakeLog }
 
-func (l twoStreams) ReadSome(ctx context.Context, name ident.Stream, from ident.Offset, most int, wait clock.Millis) (tail.Batch, error) {
+func (l twoStreams) ReadSome(ctx context.Context, name ident.Stream, from ident.Offset, maxBytes int, wait clock.Millis) (tail.Batch, error) {
 	if name == "silent.0" {
-		return l.silent.ReadSome(ctx, name, from, most, wait)
+		return l.silent.ReadSome(ctx, name, from, maxBytes, wait)
 	}
-	return l.healthy.ReadSome(ctx, name, from, most, wait)
+	return l.healthy.ReadSome(ctx, name, from, maxBytes, wait)
 }
 
 func TestNothingBeginsAfterTheStop(t *testing.T) {
--- a/croftmoor/blobs/plan.go
+++ b/croftmoor/blobs/plan.go
@@ -23,9 +23,9 @@
 // extent is the range of one read: it starts at offset first and asks for bytes. The offsets of
 // the wanted records are in ascending order.
 type extent struct {
-	first  ident.Offset
-	bytes  int
-	wanted []ident.Offset
+	first   ident.Offset
+	bytes   int
+	offsets []ident.Offset
 }
 
 // extentFor returns the extent that begins at offset and covers the following offsets of
@@ -44,5 +44,5 @@
 	}
 	wanted := sorted[at:end]
 	expectedBytes := int(wanted[len(wanted)-1]-offset+1) * recordBytes
-	return extent{first: offset, bytes: min(max(expectedBytes+expectedBytes*marginPercent/percent, minReadBytes), maxBytes), wanted: wanted}
+	return extent{first: offset, bytes: min(max(expectedBytes+expectedBytes*marginPercent/percent, minReadBytes), maxBytes), offsets: wanted}
 }
--- a/croftmoor/blobs/read.go
+++ b/croftmoor/blobs/read.go
@@ -49,7 +49,7 @@
 }
 
 func (r *read) covers(p position) bool {
-	return p.stream == r.stream && slices.Contains(r.wanted, p.offset)
+	return p.stream == r.stream && slices.Contains(r.offsets, p.offset)
 }
 
 // record returns the record at an offset, if the read has brought it. Call it only after the
@@ -125,7 +125,7 @@
 		extent: extentFor(first.offset, offsets, s.recordSize(first.stream), s.window.readLimit()),
 		stream: first.stream, done: make(chan struct{}),
 	}
-	for _, offset := range r.wanted {
+	for _, offset := range r.offsets {
 		s.reads[position{stream: r.stream, offset: offset}] = r
 	}
 	return r
@@ -191,7 +191,7 @@
 
 // finish ends a read and unregisters its positions. The caller holds mu.
 func (s *Store) finish(r *read) {
-	for _, offset := range r.wanted {
+	for _, offset := range r.offsets {
 		delete(s.reads, position{stream: r.stream, offset: offset})
 	}
 	close(r.done)
