--- a/croftmoor/blobs/blobs.go
+++ b/croftmoor/blobs/blobs.go
@@ -1,6 +1,5 @@
-// Package blobs keeps bodies and texts of batch jobs in streams of the
-// platform's log, next to the ledger that refers to them, and reads them back
-// with a small cache.
+// Package blobs stores the request bodies and generated texts of batch jobs in
+// streams of the platform's log, and reads them through an in-memory cache.
 package blobs
 
 import (
@@ -23,7 +22,7 @@
 
 // Kinds of errors.
 const (
-	// Unavailable means that the log could not be read now.
+	// Unavailable means that the log cannot be read at present.
 	Unavailable Kind = "Unavailable"
 	// Gone means that the log no longer has the blob.
 	Gone Kind = "Gone"
@@ -37,76 +36,77 @@
 	Write(ctx context.Context, stream ident.Stream, records ...[]byte) (ident.Offset, error)
 }
 
-// Family names a set of streams over which blobs are spread.
+// Family is the name of a set of streams over which jobs are partitioned.
 type Family string
 
 // Families.
 const (
-	// Bodies holds what callers sent.
+	// Bodies holds the request bodies of callers.
 	Bodies Family = "bodies"
-	// Texts holds what engines made.
+	// Texts holds the output of engines.
 	Texts Family = "texts"
 )
 
-// Store keeps blobs. Set the exported fields before use. The cache is guarded
-// by mu.
+// Store writes and reads blobs, with a cache of records. Set the exported fields before use.
 type Store struct {
 	Reader tail.ChunkReader
 	Writer Writer
 	Clock  *clock.Clock
-	// Parts is how many streams a family has.
-	Parts int
-	// RecordBytes and AppendBytes bound a record and an append.
+	// Partitions is the number of streams of a family.
+	Partitions int
+	// RecordBytes and AppendBytes limit the size of a record and of an append. A blob larger
+	// than AppendBytes is still written in one append.
 	RecordBytes int
 	AppendBytes int
-	// CacheBytes bounds the cache.
+	// CacheBytes limits the size of the cached records.
 	CacheBytes int
 
 	client *http.Client
-	// group has the reads under way, which end with base.
+	// group tracks the running reads.
 	group conc.WaitGroup
 
-	mu     sync.Mutex
-	cache  map[place][]byte
-	order  []place
-	cached int
-	// reads are those under way or waiting, by the places that they are for; queue are those
-	// that wait until window has room for them.
-	reads  map[place]*read
+	// mu guards the fields below, except that a running read uses baseCtx without it.
+	mu             sync.Mutex
+	cache          map[position][]byte
+	insertionOrder []position
+	cachedBytes    int
+	// reads has the running and queued reads by the positions that they cover; queue has those
+	// that wait for room in window.
+	reads  map[position]*read
 	queue  []*read
 	window window
-	// sizes are the smoothed bytes of a record of each stream.
-	sizes map[ident.Stream]int
-	// base ends with cancel; after that no read begins.
-	base    context.Context
+	// recordSizes is the moving average of the bytes of a record, by stream.
+	recordSizes map[ident.Stream]int
+	// baseCtx is the parent context of all reads; Stop cancels it.
+	baseCtx context.Context
 	cancel  context.CancelFunc
 	stopped bool
 }
 
-// place is where a record lies.
-type place struct {
+// position identifies a record of the log.
+type position struct {
 	stream ident.Stream
 	offset ident.Offset
 }
 
-// String names the place in errors.
-func (p place) String() string {
+// String returns the form used in error texts.
+func (p position) String() string {
 	return string(p.stream) + " at " + strconv.FormatInt(int64(p.offset), 10)
 }
 
-// StreamOf returns the stream of a family in which a job's blobs lie.
+// StreamOf returns the stream of a family that holds a job's blobs.
 func (s *Store) StreamOf(family Family, job ident.Job) ident.Stream {
-	part := ident.Hash(string(job)) % uint64(max(s.Parts, 1))
-	return ident.Stream(string(family) + "." + strconv.FormatUint(part, 10))
+	partition := ident.Hash(string(job)) % uint64(max(s.Partitions, 1))
+	return ident.Stream(string(family) + "." + strconv.FormatUint(partition, 10))
 }
 
-// Put appends blobs and returns where each lies. All of them are appended when
-// it returns without an error.
+// Put appends blobs and returns the span of each. Without an error all are
+// appended; with an error some may be.
 func (s *Store) Put(ctx context.Context, family Family, job ident.Job, blobs [][]byte) ([]jobs.Span, error) {
 	stream := s.StreamOf(family, job)
 	spans := make([]jobs.Span, 0, len(blobs))
 	var records [][]byte
-	size, from := 0, 0
+	pendingBytes, pendingSpan := 0, 0
 	flush := func() error {
 		if len(records) == 0 {
 			return nil
@@ -115,31 +115,31 @@
 		if err != nil {
 			return err
 		}
-		for i := from; i < len(spans); i++ {
+		for i := pendingSpan; i < len(spans); i++ {
 			spans[i].First += first
 		}
-		records, size, from = nil, 0, len(spans)
+		records, pendingBytes, pendingSpan = nil, 0, len(spans)
 		return nil
 	}
 	for _, blob := range blobs {
-		cut := s.cut(blob)
-		if size+len(blob)+len(cut)*recordOverhead > s.AppendBytes {
+		chunks := s.split(blob)
+		if pendingBytes+len(blob)+len(chunks)*recordOverhead > s.AppendBytes {
 			if err := flush(); err != nil {
 				return nil, err
 			}
 		}
-		spans = append(spans, jobs.Span{Stream: stream, First: ident.Offset(len(records)), Count: len(cut)})
-		records = append(records, cut...)
-		size += len(blob) + len(cut)*recordOverhead
+		spans = append(spans, jobs.Span{Stream: stream, First: ident.Offset(len(records)), Count: len(chunks)})
+		records = append(records, chunks...)
+		pendingBytes += len(blob) + len(chunks)*recordOverhead
 	}
 	return spans, flush()
 }
 
-// recordOverhead is what a record costs beside its bytes.
+// recordOverhead is the bytes that a record takes in an append beside its data.
 const recordOverhead = 4
 
-// cut splits a blob into records.
-func (s *Store) cut(blob []byte) [][]byte {
+// split divides a blob into records; an empty blob is one empty record.
+func (s *Store) split(blob []byte) [][]byte {
 	var records [][]byte
 	for len(blob) > s.RecordBytes {
 		records = append(records, blob[:s.RecordBytes])
@@ -148,63 +148,64 @@
 	return append(records, blob)
 }
 
-func (s *Store) lookup(at place) ([]byte, bool) {
+func (s *Store) lookup(p position) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	data, ok := s.cache[at]
+	data, ok := s.cache[p]
 	return data, ok
 }
 
-// fillIn takes over the records that are in the cache, and returns the places of those that
-// are missing among the first least ones, and of the further ones within the next bytes;
-// negative bytes are no bound.
-func (s *Store) fillIn(wanted []place, records []found, least, bytes int) []place {
+// fillFromCache fills slots from the cache and returns the positions of missing records. It
+// looks at the first minRecords positions, and at further ones until their present or expected
+// sizes have used up byteBudget; a negative byteBudget means no limit.
+func (s *Store) fillFromCache(wanted []position, slots []recordSlot, minRecords, byteBudget int) []position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var missing []place
-	bounded := bytes >= 0
+	var missing []position
+	bounded := byteBudget >= 0
 	for n, p := range wanted {
-		if bounded && bytes <= 0 && n >= least {
+		if bounded && byteBudget <= 0 && n >= minRecords {
 			break
 		}
-		if !records[n].there {
-			records[n].data, records[n].there = s.cache[p]
+		if !slots[n].present {
+			slots[n].data, slots[n].present = s.cache[p]
 		}
-		if records[n].there {
-			bytes -= len(records[n].data)
+		if slots[n].present {
+			byteBudget -= len(slots[n].data)
 			continue
 		}
 		missing = append(missing, p)
-		bytes -= s.size(p.stream)
+		byteBudget -= s.recordSize(p.stream)
 	}
 	return missing
 }
 
-// keep puts what was read into the cache; mu is held.
-func (s *Store) keep(r *read) {
+// addToCache adds a read's records to the cache, evicts the oldest additions beyond
+// CacheBytes, and updates the average record size. The caller holds mu.
+func (s *Store) addToCache(r *read) {
 	for _, record := range r.records {
-		p := place{stream: r.stream, offset: record.Offset}
+		p := position{stream: r.stream, offset: record.Offset}
 		if _, known := s.cache[p]; known {
 			continue
 		}
 		s.cache[p] = record.Data
-		s.order = append(s.order, p)
-		s.cached += len(record.Data)
+		s.insertionOrder = append(s.insertionOrder, p)
+		s.cachedBytes += len(record.Data)
 	}
-	for s.cached > s.CacheBytes && len(s.order) > 0 {
-		s.cached -= len(s.cache[s.order[0]])
-		delete(s.cache, s.order[0])
-		s.order = s.order[1:]
+	for s.cachedBytes > s.CacheBytes && len(s.insertionOrder) > 0 {
+		s.cachedBytes -= len(s.cache[s.insertionOrder[0]])
+		delete(s.cache, s.insertionOrder[0])
+		s.insertionOrder = s.insertionOrder[1:]
 	}
-	s.learn(r)
+	s.updateRecordSize(r)
 }
 
-// PutBodies keeps the bodies of a job's items.
+// PutBodies appends the request bodies of a job's items and returns the span of each.
 func (s *Store) PutBodies(ctx context.Context, job ident.Job, blobs [][]byte) ([]jobs.Span, error) {
 	return s.Put(ctx, Bodies, job, blobs)
 }
 
-// PutText keeps one text of a job.
+// PutText appends one text of a job and returns its span.
 func (s *Store) PutText(ctx context.Context, job ident.Job, text []byte) (jobs.Span, error) {
 	spans, err := s.Put(ctx, Texts, job, [][]byte{text})
 	if err != nil {
--- a/croftmoor/blobs/gather.go
+++ b/croftmoor/blobs/gather.go
@@ -14,55 +14,57 @@
 )
 
 const (
-	// blobTries and textTries are how often the first missing record is tried for a caller
-	// of one blob, who has other ways, and of texts, who has none.
-	blobTries = 3
-	textTries = 6
-	// tryPause is the pause after a try that failed; it doubles up to mostTryPause.
-	tryPause     = 50 * clock.Millis(1)
-	mostTryPause = 400 * clock.Millis(1)
-	// readsAhead is how many reads one caller has under way or waiting: with a log that
-	// takes 50 times its usual 4 ms they bring some 2 MB a second.
-	readsAhead = 4
+	// blobAttempts and textAttempts limit the consecutive reads for the first missing record
+	// that return no records. Callers of Get can fall back to FetchFrom; callers of Texts have
+	// no fallback.
+	blobAttempts = 3
+	textAttempts = 6
+	// retryPause is the pause after a failed attempt; it doubles up to maxRetryPause.
+	retryPause    = 50 * clock.Millis(1)
+	maxRetryPause = 400 * clock.Millis(1)
+	// maxReadsPerCaller limits the reads of one caller that run or are queued.
+	maxReadsPerCaller = 4
 )
 
-// Get reads a blob.
+// Get returns a blob from the cache or the log. The error is Gone if the log has dropped a
+// record of it, and Unavailable if the log cannot be read or ctx ends.
 func (s *Store) Get(ctx context.Context, span jobs.Span) ([]byte, error) {
-	g := &gathering{store: s, wanted: placesOf(span), tries: blobTries}
+	g := &gatherer{store: s, wanted: positionsOf(span), maxAttempts: blobAttempts}
 	if err := g.run(ctx, func() bool { return false }); err != nil {
 		return nil, err
 	}
-	return g.join(0, span.Count), nil
+	return g.concat(0, span.Count), nil
 }
 
-// Texts reads texts, each of which consists of parts between which a line feed stands. It
-// returns those from the first one on that were there when they had most bytes together,
-// or when the term was over; without the first one it waits on until ctx ends.
+// Texts reads texts; the parts of a text are joined by line feeds. It returns the complete
+// texts before the first incomplete one, once all texts are read, at least maxBytes
+// bytes have been read in order, term has elapsed, or an error occurs. It waits for the first
+// text beyond term, until ctx ends. The error is Gone or Unavailable, as for Get, and is
+// returned only if the first text is not complete.
 //
-// A job's texts are read with few large reads side by side and given as far as they are
-// there: read one after another, with none given before the last, they took longer than
-// their caller waited, at each instance anew.
-func (s *Store) Texts(ctx context.Context, texts [][]jobs.Span, most int, term clock.Millis) ([]string, error) {
-	g := &gathering{store: s, most: most, tries: textTries}
-	ends := make([]int, 0, len(texts))
+// Texts runs a few large reads in parallel and returns partial results, because reading the
+// texts one after another can take longer than callers wait.
+func (s *Store) Texts(ctx context.Context, texts [][]jobs.Span, maxBytes int, term clock.Millis) ([]string, error) {
+	g := &gatherer{store: s, maxBytes: maxBytes, maxAttempts: textAttempts}
+	textEnds := make([]int, 0, len(texts))
 	for _, spans := range texts {
 		for _, span := range spans {
-			g.wanted = append(g.wanted, placesOf(span)...)
+			g.wanted = append(g.wanted, positionsOf(span)...)
 		}
-		ends = append(ends, len(g.wanted))
+		textEnds = append(textEnds, len(g.wanted))
 	}
-	until := s.Clock.Mono() + term
-	g.over = s.Clock.After(term)
-	// ready returns how many texts are there from the first one on.
+	deadline := s.Clock.Mono() + term
+	g.timeout = s.Clock.After(term)
+	// ready returns the number of complete texts before the first incomplete one.
 	ready := func() int {
-		count, _ := slices.BinarySearch(ends, g.first+1)
+		count, _ := slices.BinarySearch(textEnds, g.firstMissing+1)
 		return count
 	}
-	if len(ends) > 0 {
-		g.least = ends[0]
+	if len(textEnds) > 0 {
+		g.minRecords = textEnds[0]
 	}
 	err := g.run(ctx, func() bool {
-		return ready() > 0 && (g.bytes >= most || s.Clock.Mono() >= until)
+		return ready() > 0 && (g.readyBytes >= maxBytes || s.Clock.Mono() >= deadline)
 	})
 	if err != nil && ready() == 0 {
 		return nil, err
@@ -72,7 +74,7 @@
 	for _, spans := range texts[:ready()] {
 		parts := make([]string, 0, len(spans))
 		for _, span := range spans {
-			parts = append(parts, string(g.join(at, at+span.Count)))
+			parts = append(parts, string(g.concat(at, at+span.Count)))
 			at += span.Count
 		}
 		joined = append(joined, strings.Join(parts, "\n"))
@@ -80,178 +82,184 @@
 	return joined, nil
 }
 
-// placesOf returns where the records of a span lie.
-func placesOf(span jobs.Span) []place {
-	places := make([]place, 0, span.Count)
+// positionsOf returns the positions of a span's records.
+func positionsOf(span jobs.Span) []position {
+	positions := make([]position, 0, span.Count)
 	for i := range span.Count {
-		places = append(places, place{stream: span.Stream, offset: span.First + ident.Offset(i)})
+		positions = append(positions, position{stream: span.Stream, offset: span.First + ident.Offset(i)})
 	}
-	return places
+	return positions
 }
 
-// gathering is one caller's reading of many places, in the order in which it wants them.
-type gathering struct {
+// gatherer reads records for one caller, in the order that the caller wants.
+type gatherer struct {
 	store  *Store
-	wanted []place
-	// most is how many bytes are wanted at most, beside the first least places; 0 is all.
-	most  int
-	least int
-	tries int
-	// over ends a wait, once; it may be nil.
-	over <-chan time.Time
+	wanted []position
+	// maxBytes is the approximate limit of the bytes to read, except that the first minRecords
+	// records are always read; 0 means no limit.
+	maxBytes    int
+	minRecords  int
+	maxAttempts int
+	// timeout fires once, when the caller's term has elapsed; nil means no term.
+	timeout <-chan time.Time
 
-	// found are the records of the wanted places as far as they are there; first is the
-	// first missing one, and bytes the size of those before it.
-	found []found
-	first int
-	bytes int
-	// reads are those that the caller waits for, failed counts those that brought nothing
-	// for the first missing place.
-	reads  []*read
-	failed int
+	// slots holds the record of each wanted position. firstMissing is the index of the first
+	// slot without a record, and readyBytes the size of the records before it.
+	slots        []recordSlot
+	firstMissing int
+	readyBytes   int
+	// reads are those that the caller waits for. failures counts consecutive reads for the
+	// first missing position that returned no records.
+	reads    []*read
+	failures int
 }
 
-// found is a record, if it is there.
-type found struct {
-	data  []byte
-	there bool
+// recordSlot holds a record once it has been read; an empty record can be present.
+type recordSlot struct {
+	data    []byte
+	present bool
 }
 
-// run reads until all places are there, enough says so, or ctx ends.
-func (g *gathering) run(ctx context.Context, enough func() bool) error {
-	g.found = make([]found, len(g.wanted))
-	defer g.leave()
+// run reads until all records are present, enough returns true, a record cannot be read, or
+// ctx ends.
+func (g *gatherer) run(ctx context.Context, enough func() bool) error {
+	g.slots = make([]recordSlot, len(g.wanted))
+	defer g.abandon()
 	for {
-		missing := g.missing()
+		missing := g.collectMissing()
 		if len(missing) == 0 || enough() {
 			return nil
 		}
-		next := g.begin(missing)
+		next := g.startReads(missing)
 		if next == nil {
-			// It has come between the two looks.
+			// Another caller's read has put the record into the cache since the check above.
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return fault.Wrap("blobs.gather", Unavailable, ctx.Err(), "cannot read "+missing[0].String())
-		case <-g.over:
-			g.over = nil
+		case <-g.timeout:
+			g.timeout = nil
 		case <-next.done:
-			if err := g.judge(next, missing[0]); err != nil {
+			if err := g.checkRead(next, missing[0]); err != nil {
 				return err
 			}
-			g.rest(ctx)
+			g.backOff(ctx)
 		}
 	}
 }
 
-// missing returns the places that the caller lacks of those that it can use.
-func (g *gathering) missing() []place {
-	g.takeEnded()
-	bytes := -1
-	if g.most > 0 {
-		bytes = max(g.most-g.bytes, 0)
+// collectMissing fills slots from ended reads and the cache and advances firstMissing. It
+// returns the positions still to be read within the limit of maxBytes.
+func (g *gatherer) collectMissing() []position {
+	g.collectEnded()
+	bytesLeft := -1
+	if g.maxBytes > 0 {
+		bytesLeft = max(g.maxBytes-g.readyBytes, 0)
 	}
-	missing := g.store.fillIn(g.wanted[g.first:], g.found[g.first:], g.least-g.first, bytes)
-	for g.first < len(g.wanted) && g.found[g.first].there {
-		g.bytes += len(g.found[g.first].data)
-		g.first++
+	missing := g.store.fillFromCache(g.wanted[g.firstMissing:], g.slots[g.firstMissing:], g.minRecords-g.firstMissing, bytesLeft)
+	for g.firstMissing < len(g.wanted) && g.slots[g.firstMissing].present {
+		g.readyBytes += len(g.slots[g.firstMissing].data)
+		g.firstMissing++
 	}
 	return missing
 }
 
-// takeEnded takes over what the ended reads brought: the cache may have dropped it again.
-func (g *gathering) takeEnded() {
+// collectEnded copies the records of ended reads into slots, because the cache may have
+// evicted them already.
+func (g *gatherer) collectEnded() {
 	g.reads = slices.DeleteFunc(g.reads, func(r *read) bool {
 		if !r.ended() {
 			return false
 		}
-		r.waiting.Add(-1)
-		for n := g.first; len(r.records) > 0 && n < len(g.wanted); n++ {
-			if g.wanted[n].stream != r.stream || g.found[n].there {
+		r.waiters.Add(-1)
+		for n := g.firstMissing; len(r.records) > 0 && n < len(g.wanted); n++ {
+			if g.wanted[n].stream != r.stream || g.slots[n].present {
 				continue
 			}
-			g.found[n].data, g.found[n].there = r.record(g.wanted[n].offset)
+			g.slots[n].data, g.slots[n].present = r.record(g.wanted[n].offset)
 		}
 		return true
 	})
 }
 
-// begin has the missing places read, some reads ahead, and returns the read for the first,
-// or nil if that place has come meanwhile.
-func (g *gathering) begin(missing []place) *read {
-	covered := map[place]bool{}
+// startReads joins or queues reads for the missing positions, up to maxReadsPerCaller; a read
+// for the first position may exceed that number. It returns the read for the first position,
+// or nil if its record is in the cache by now.
+func (g *gatherer) startReads(missing []position) *read {
+	covered := map[position]bool{}
 	var next *read
 	for _, r := range g.reads {
-		for _, offset := range r.wanted {
-			covered[place{stream: r.stream, offset: offset}] = true
+		for _, offset := range r.offsets {
+			covered[position{stream: r.stream, offset: offset}] = true
 		}
-		if r.isFor(missing[0]) {
+		if r.covers(missing[0]) {
 			next = r
 		}
 	}
-	room := readsAhead - len(g.reads)
+	room := maxReadsPerCaller - len(g.reads)
 	if next != nil {
-		g.store.hasten(next)
+		g.store.prioritize(next)
 	} else {
 		room = max(room, 1)
 	}
-	open := slices.DeleteFunc(slices.Clone(missing), func(p place) bool { return covered[p] })
-	begun := g.store.join(open, room, next == nil)
-	g.reads = append(g.reads, begun...)
-	if next == nil && len(begun) > 0 {
-		next = begun[0]
+	uncovered := slices.DeleteFunc(slices.Clone(missing), func(p position) bool { return covered[p] })
+	started := g.store.joinReads(uncovered, room, next == nil)
+	g.reads = append(g.reads, started...)
+	if next == nil && len(started) > 0 {
+		next = started[0]
 	}
 	return next
 }
 
-// judge returns an error if the first missing place can't be read.
-func (g *gathering) judge(r *read, wanted place) error {
+// checkRead returns Gone if the log has dropped the wanted record, Unavailable after
+// maxAttempts consecutive failures, and nil if the caller should continue.
+func (g *gatherer) checkRead(r *read, wanted position) error {
 	switch {
 	case r.err == nil && wanted.offset < r.oldest:
-		return fault.New("blobs.gather", Gone, "the log has dropped "+wanted.String()+" and all up to "+strconv.FormatInt(int64(r.oldest), 10))
+		return fault.New("blobs.gather", Gone, "the log has dropped "+wanted.String()+"; the stream now begins at offset "+strconv.FormatInt(int64(r.oldest), 10))
 	case len(r.records) > 0:
-		g.failed = 0
+		g.failures = 0
 		return nil
 	}
-	if g.failed++; g.failed < g.tries {
+	if g.failures++; g.failures < g.maxAttempts {
 		return nil
 	}
 	if r.err == nil {
-		return fault.New("blobs.gather", Unavailable, wanted.String()+" is not there yet")
+		return fault.New("blobs.gather", Unavailable, wanted.String()+" is not in the log yet")
 	}
 	return fault.Wrap("blobs.gather", Unavailable, r.err, "cannot read "+wanted.String())
 }
 
-// rest pauses after a try that failed, so that a log which refuses is not asked at once, and
-// no longer than the caller's term.
-func (g *gathering) rest(ctx context.Context) {
-	if g.failed == 0 {
+// backOff pauses after a failed attempt, at most until the caller's term has elapsed.
+func (g *gatherer) backOff(ctx context.Context) {
+	if g.failures == 0 {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-g.over:
-		g.over = nil
-	case <-g.store.Clock.After(min(tryPause<<(g.failed-1), mostTryPause)):
+	case <-g.timeout:
+		g.timeout = nil
+	case <-g.store.Clock.After(min(retryPause<<(g.failures-1), maxRetryPause)):
 	}
 }
 
-// leave gives up the reads that have not ended.
-func (g *gathering) leave() {
+// abandon stops waiting for the reads that have not ended.
+func (g *gatherer) abandon() {
 	for _, r := range g.reads {
-		r.waiting.Add(-1)
+		r.waiters.Add(-1)
 	}
 	g.reads = nil
 }
 
-// join returns the records from one wanted place up to another, joined.
-func (g *gathering) join(from, to int) []byte {
+// concat returns the concatenated records of the wanted positions from (inclusive) to
+// (exclusive).
+func (g *gatherer) concat(from, to int) []byte {
 	if to-from == 1 {
-		return g.found[from].data
+		return g.slots[from].data
 	}
 	var blob []byte
-	for _, f := range g.found[from:to] {
+	for _, f := range g.slots[from:to] {
 		blob = append(blob, f.data...)
 	}
 	return blob
--- a/croftmoor/blobs/plan.go
+++ b/croftmoor/blobs/plan.go
@@ -7,32 +7,31 @@
 )
 
 const (
-	// leastRead is how much one read asks for at least: a few bodies or texts, of 2 to
-	// 5 KB. Whoever runs one item seldom needs its neighbours, and all instances share
-	// what the log reads out.
-	leastRead = 16 << 10
-	// mostRead bounds one read, so that the first records of many come soon over a slow
-	// link.
-	mostRead = 128 << 10
-	// mostGap is how many bytes of others' records are read rather than to call the log
-	// once more.
-	mostGap = 12 << 10
-	// marginPercent is what a read asks for beyond the expected size of its records.
+	// minReadBytes is the least that one read asks for. It is small because a caller that runs
+	// one item seldom needs its neighbours, and all instances share the log's read throughput.
+	minReadBytes = 16 << 10
+	// maxReadBytes limits one read, so that its first records arrive soon over a slow link.
+	maxReadBytes = 128 << 10
+	// maxGapBytes is the most unwanted bytes between two wanted records of one read. Up to
+	// this size, reading the gap costs less than another call to the log.
+	maxGapBytes = 12 << 10
+	// marginPercent is added to the expected size of the records of a read.
 	marginPercent = 10
 	percent       = 100
 )
 
-// extent is what one read asks for: about so many bytes from an offset on, for the offsets
-// that are wanted, in rising order.
+// extent is the range of one read: it starts at offset first and asks for bytes. The offsets of
+// the wanted records are in ascending order.
 type extent struct {
-	first  ident.Offset
-	bytes  int
-	wanted []ident.Offset
+	first   ident.Offset
+	bytes   int
+	offsets []ident.Offset
 }
 
-// extentFor returns the read for an offset and for those of the others that one read can
-// bring with it, given the expected bytes of a record and the most bytes of a read. It is pure.
-func extentFor(offset ident.Offset, others []ident.Offset, record, most int) extent {
+// extentFor returns the extent that begins at offset and covers the following offsets of
+// others, up to the first that exceeds maxBytes or lies beyond a gap wider than maxGapBytes.
+// recordBytes is the expected size of a record.
+func extentFor(offset ident.Offset, others []ident.Offset, recordBytes, maxBytes int) extent {
 	sorted := slices.Clone(others)
 	slices.Sort(sorted)
 	at, found := slices.BinarySearch(sorted, offset)
@@ -40,10 +39,10 @@
 		sorted = slices.Insert(sorted, at, offset)
 	}
 	end := at + 1
-	for end < len(sorted) && int(sorted[end]-offset+1)*record <= most && int(sorted[end]-sorted[end-1]-1)*record <= mostGap {
+	for end < len(sorted) && int(sorted[end]-offset+1)*recordBytes <= maxBytes && int(sorted[end]-sorted[end-1]-1)*recordBytes <= maxGapBytes {
 		end++
 	}
 	wanted := sorted[at:end]
-	expected := int(wanted[len(wanted)-1]-offset+1) * record
-	return extent{first: offset, bytes: min(max(expected+expected*marginPercent/percent, leastRead), most), wanted: wanted}
+	expectedBytes := int(wanted[len(wanted)-1]-offset+1) * recordBytes
+	return extent{first: offset, bytes: min(max(expectedBytes+expectedBytes*marginPercent/percent, minReadBytes), maxBytes), offsets: wanted}
 }
--- a/croftmoor/blobs/window.go
+++ b/croftmoor/blobs/window.go
@@ -3,52 +3,53 @@
 import "croftmoor.dev/kernel/clock"
 
 const (
-	// leastWindow, firstWindow and mostWindow are the bytes that reads under way may ask
-	// for together: at least a few of the smallest, and at first some.
-	leastWindow = 4 * leastRead
-	firstWindow = 2 * leastWindow
-	mostWindow  = 4 << 20
-	// quickRead is the time of a read of a log that has room, also when it takes 60 times
-	// its usual 4 ms, and slowRead that of one that has to share what there is. A log
-	// that is slower than quickRead by itself is taken for one without room.
-	quickRead = 300 * clock.Millis(1)
-	slowRead  = 500 * clock.Millis(1)
-	// windowReads is how many reads the window has room for at least.
-	windowReads = 4
+	// minWindowBytes and maxWindowBytes bound the window's limit; initialWindowBytes is its
+	// first value.
+	minWindowBytes     = 4 * minReadBytes
+	initialWindowBytes = 2 * minWindowBytes
+	maxWindowBytes     = 4 << 20
+	// A read faster than fastReadTime shows spare capacity and widens the window; one of
+	// slowReadTime or longer shows congestion and halves it. A log whose own latency is at
+	// least fastReadTime cannot widen the window; at slowReadTime it counts as congested.
+	fastReadTime = 300 * clock.Millis(1)
+	slowReadTime = 500 * clock.Millis(1)
+	// minWindowReads is the least number of reads of readLimit bytes that fit into the window.
+	minWindowReads = 4
 )
 
-// window bounds the bytes of the reads under way by what comes in time: it grows while reads
-// are quick, and is halved by one that is slow or fails. Without it, more reads than the link
-// or the log can serve in their time all run out of it, and none brings anything. It is pure.
+// window is a congestion window: it limits the bytes that running reads ask for together,
+// except those of reads that have run longer than slowReadTime. It grows while reads are fast,
+// and a slow or failed read halves it. Without this limit, all reads of an overloaded link or
+// log time out. The store's mu guards it.
 type window struct {
-	bytes int
-	used  int
+	limit int
+	inUse int
 }
 
-// newWindow returns the window to begin with.
-func newWindow() window { return window{bytes: firstWindow} }
+func newWindow() window { return window{limit: initialWindowBytes} }
 
-// mostPerRead returns how much one read may ask for.
-func (w *window) mostPerRead() int { return min(max(w.bytes/windowReads, leastRead), mostRead) }
+// readLimit returns the most bytes that one read may ask for.
+func (w *window) readLimit() int { return min(max(w.limit/minWindowReads, minReadBytes), maxReadBytes) }
 
-// take begins a read if there is room for it.
-func (w *window) take(bytes int) bool {
-	if w.used > 0 && w.used+bytes > w.bytes {
+// tryAcquire reserves room for a read and reports whether there was enough. A read of any
+// size fits into an empty window, so that it can always run.
+func (w *window) tryAcquire(bytes int) bool {
+	if w.inUse > 0 && w.inUse+bytes > w.limit {
 		return false
 	}
-	w.used += bytes
+	w.inUse += bytes
 	return true
 }
 
-// give ends a read's claim to room.
-func (w *window) give(bytes int) { w.used -= bytes }
+// release frees the room of a read.
+func (w *window) release(bytes int) { w.inUse -= bytes }
 
-// learn adapts the window to a read that has ended.
-func (w *window) learn(bytes int, took clock.Millis, ok bool) {
+// update adapts the window to a read that has ended.
+func (w *window) update(bytes int, latency clock.Millis, ok bool) {
 	switch {
-	case !ok || took >= slowRead:
-		w.bytes = max(w.bytes/2, leastWindow)
-	case took < quickRead:
-		w.bytes = min(w.bytes+bytes, mostWindow)
+	case !ok || latency >= slowReadTime:
+		w.limit = max(w.limit/2, minWindowBytes)
+	case latency < fastReadTime:
+		w.limit = min(w.limit+bytes, maxWindowBytes)
 	}
 }
