--- a/croftmoor/guard/guard.go
+++ b/croftmoor/guard/guard.go
@@ -25,32 +25,32 @@
 const Stream ident.Stream = "ends.0"
 
 const (
-	// pollWait is how long a read waits for a record; readTimeout is the timeout of a read.
-	// Together they must let a report reach all instances within 3 s.
+	// pollWait is how long a read waits for a record; readTimeout bounds the whole read,
+	// including that wait. Reports must reach all instances within 3 s even if a read times out.
 	pollWait    = 1 * clock.Second
 	readTimeout = 1800 * clock.Millis(1)
-	// readPause between two reads batches the reports of one server's requests.
+	// readPause is the pause between two reads, so that the reports of all requests of one
+	// ended server share a read.
 	readPause = 20 * clock.Millis(1)
-	// maxUnreadWait is how long an instance refuses requests until it has read the stream to
-	// its end, counted from the first request. If the log stays unavailable for longer, the
-	// instance serves without it. unreadRetryAfter is the retry delay of these refusals.
+	// maxUnreadWait is the longest time for which an instance refuses requests because it
+	// has not read the stream to its end, counted from the first request. After that it
+	// serves without the log. unreadRetryAfter is the retry delay of these refusals.
 	maxUnreadWait    = 2 * clock.Second
 	unreadRetryAfter = 100 * clock.Millis(1)
-	// writeTimeout bounds the publication of a record. After that time the table has dropped
-	// the end, or cleanUp publishes it again.
+	// writeTimeout bounds the publication of a record. A record that was not appended by then
+	// is not retried, but cleanUp publishes the ends of held requests again.
 	writeTimeout = 60 * clock.Second
 	// directDelay is how long an append may take before peers are notified directly as well.
 	directDelay = 300 * clock.Millis(1)
 	// directTimeout bounds a call to another instance.
 	directTimeout = 1 * clock.Second
-	// maxDirectPeers bounds the instances that are notified directly. They do not forward
-	// the record; all others read it from the log.
+	// maxDirectPeers bounds the instances that are notified directly of one record. They do
+	// not forward it; all others read it from the log.
 	maxDirectPeers = 64
 	// maxPending bounds the records being published; further ones are dropped and counted.
-	// It covers several servers that end at once with all their requests.
 	maxPending = 512
-	// cleanupPeriod is the interval between two cleanups; renewSpread is the span over which
-	// instances spread the renewal of records.
+	// cleanupPeriod is the interval between two cleanups; renewSpread is the time over which
+	// the instances spread the renewal of records.
 	cleanupPeriod = 10 * clock.Second
 	renewSpread   = 60 * clock.Second
 )
@@ -79,10 +79,10 @@
 	ctx     context.Context
 	pending int
 	dropped int
-	// loggedHeld is the number of held requests when it was last logged.
+	// loggedHeld is the last logged number of held requests.
 	loggedHeld int
-	// caughtUp is whether the stream has been read to its end once; firstAsked is when
-	// that was first needed, 0 if never.
+	// caughtUp is whether the stream has been read to its end once; firstAsked is when ready
+	// was first called, 0 if never.
 	caughtUp   bool
 	firstAsked clock.Millis
 }
@@ -122,8 +122,8 @@
 }
 
 // Ready reports whether this instance has read the stream to its end since it started, or
-// has waited for that for maxUnreadWait. Requests that run earlier may be held elsewhere and
-// may crash servers.
+// has waited for that for maxUnreadWait. Until then it may not know of requests that other
+// instances hold, and running them could crash servers.
 func (g *Guard) Ready() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -225,7 +225,8 @@
 	}
 }
 
-// publish appends a record to the log, and notifies peers directly after directDelay.
+// publish appends a record to the log in the background. If that takes longer than
+// directDelay, it also notifies peers directly.
 func (g *Guard) publish(r poison.Record) {
 	data, err := poison.Encode(r)
 	if err != nil {
@@ -282,7 +283,8 @@
 	g.caughtUp = g.caughtUp || next >= batch.Next
 }
 
-// applyEncoded applies one record; it skips a record that cannot be decoded.
+// applyEncoded applies one record; it skips a record that cannot be decoded. offset is only
+// logged; it is 0 for a record that another instance sent directly.
 func (g *Guard) applyEncoded(data []byte, fromLog bool, offset int64) {
 	r, err := poison.Decode(data)
 	if err != nil {
@@ -294,7 +296,8 @@
 	}
 }
 
-// cleanUp drops expired records and republishes those that the log is about to drop.
+// cleanUp drops expired suspects from the table, and publishes the ends of held requests
+// again before the log drops them.
 func (g *Guard) cleanUp() {
 	g.mu.Lock()
 	now := g.Clock.Mono()
@@ -312,7 +315,8 @@
 	}
 }
 
-// renewDelay returns how much later than others this instance renews records.
+// renewDelay returns this instance's delay before it renews records, less than renewSpread.
+// Instances have different delays so that they do not all publish the same records at once.
 func (g *Guard) renewDelay() clock.Millis {
 	return clock.Millis(ident.Hash(string(g.Self)) % uint64(renewSpread))
 }
--- a/croftmoor/guard/guard_test.go
+++ b/croftmoor/guard/guard_test.go
@@ -28,6 +28,7 @@
 	records     [][]byte
 }
 
+// hasNext reports whether a read returns at once: with the record at from, or with an error.
 func (m *memoryLog) hasNext(from ident.Offset) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,7 +55,7 @@
 	return 0, fault.Wrap("guard.Write", tail.Refused, ctx.Err(), "")
 }
 
-// Read waits for a record if there is none, as the platform's log does.
+// Read waits up to wait for a record if there is none, as the platform's log does.
 func (m *memoryLog) Read(_ context.Context, _ ident.Stream, from ident.Offset, wait clock.Millis) (tail.Batch, error) {
 	time.Sleep(5 * time.Millisecond)
 	for began := time.Now(); time.Since(began) < wait.Duration() && !m.hasNext(from); {
@@ -72,10 +73,10 @@
 	return batch, nil
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 400 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -83,7 +84,8 @@
 	t.Fatalf("timed out: %s", what)
 }
 
-// startGuards starts guards of instances that share a log and are each other's peers.
+// startGuards starts guards of instances that share a log. The peers of each guard are all of
+// them, including itself.
 func startGuards(t *testing.T, log *memoryLog, count int) []*Guard {
 	t.Helper()
 	var guards []*Guard
@@ -125,7 +127,8 @@
 // request returns the fingerprint of a request for a target.
 func request(target string) poison.Fingerprint { return poison.Subject{Target: target}.Fingerprint() }
 
-// reportEnds reports count ends under a request, by the guards in turn.
+// reportEnds reports that count servers ended while they ran a request. The guards take turns
+// to report.
 func reportEnds(guards []*Guard, r poison.Fingerprint, count int) {
 	for n := range count {
 		guards[n%len(guards)].Ended(r, ident.NewBackend(fmt.Sprint("s", n), 1))
@@ -136,8 +139,8 @@
 	t.Helper()
 	for n, g := range guards {
 		eventually(t, fmt.Sprintf("instance %d: held is %v", n, held), func() bool {
-			left, _ := g.Held(r)
-			return left > 0 == held
+			remaining, _ := g.Held(r)
+			return remaining > 0 == held
 		})
 	}
 }
@@ -155,14 +158,14 @@
 		log := &memoryLog{}
 		guards := startGuards(t, log, 3)
 		reportEnds(guards, request("/a"), poison.Threshold-1)
-		eventually(t, "all suspect it", func() bool { return !guards[0].Quiet() && !guards[1].Quiet() && !guards[2].Quiet() })
-		eventually(t, "the last one has both ends", func() bool {
+		eventually(t, "all guards suspect the request", func() bool { return !guards[0].Quiet() && !guards[1].Quiet() && !guards[2].Quiet() })
+		eventually(t, "the last guard has both ends", func() bool {
 			guards[2].mu.Lock()
 			defer guards[2].mu.Unlock()
 			return guards[2].table.Verdict(request("/a"), 0).Ends == poison.Threshold-1
 		})
 		guards[2].Answered(request("/a"))
-		eventually(t, "nobody suspects it", func() bool {
+		eventually(t, "no guard suspects the request", func() bool {
 			for _, g := range guards {
 				g.mu.Lock()
 				suspected := g.table.Suspected(request("/a"))
@@ -189,16 +192,16 @@
 	t.Run("who has not read yet keeps requests back, but not for long", func(t *testing.T) {
 		log := &memoryLog{}
 		reportEnds(startGuards(t, log, 3), request("/a"), poison.Threshold)
-		eventually(t, "the log has it", func() bool {
+		eventually(t, "the log has all ends", func() bool {
 			log.mu.Lock()
 			defer log.mu.Unlock()
 			return len(log.records) == poison.Threshold
 		})
 		log.setUnavailable(true)
 		late := startGuards(t, log, 1)[0]
-		left, _ := late.Held(request("/b"))
-		if late.Quiet() || late.Ready() || left != unreadRetryAfter {
-			t.Errorf("a request is held for %d ms before the log is read, want %d", left, unreadRetryAfter)
+		remaining, _ := late.Held(request("/b"))
+		if late.Quiet() || late.Ready() || remaining != unreadRetryAfter {
+			t.Errorf("before the log is read, a request is held for %d ms, want %d with Ready and Quiet false", remaining, unreadRetryAfter)
 		}
 		log.setUnavailable(false)
 		assertHeld(t, []*Guard{late}, request("/a"), true)
@@ -212,7 +215,7 @@
 	t.Run("who starts where nothing is held serves at once", func(t *testing.T) {
 		g := startGuards(t, &memoryLog{}, 1)[0]
 		began := time.Now()
-		eventually(t, "it is ready", g.Ready)
+		eventually(t, "the guard is ready", g.Ready)
 		if took := time.Since(began); took > pollWait.Duration()/2 {
 			t.Errorf("ready after %v", took)
 		}
--- a/croftmoor/guard/peer.go
+++ b/croftmoor/guard/peer.go
@@ -14,7 +14,7 @@
 
 const notifyPath = "/croftmoor.Guard/Tell"
 
-// maxConcurrentCalls bounds the concurrent calls to other instances.
+// maxConcurrentCalls bounds the concurrent calls that notify peers of one record.
 const maxConcurrentCalls = 8
 
 // notifyWire carries a record to another instance.
--- a/croftmoor/limits/limits.go
+++ b/croftmoor/limits/limits.go
@@ -19,15 +19,14 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// NoCapacity means that the call was refused and did not run, since the service has no capacity in
-// time.
+// NoCapacity means that the call did not run: it was refused, or its context ended while it
+// waited.
 const NoCapacity Kind = "NoRoom"
 
 // Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// maxWaiting bounds the queue of a service: at 1,000 calls per second, calls beyond it would
-// wait for more than a second.
+// maxWaiting bounds the number of waiting calls of each service.
 const maxWaiting = 1024
 
 // Limiters holds the limiter of each service. Set the exported fields before use.
@@ -46,7 +45,7 @@
 
 // Metrics receives the values that operators monitor.
 type Metrics interface {
-	// Room sets a service's learned rate in calls per second, 0 if it is not limited,
+	// Room sets a service's learned rate limit in calls per second, 0 while there is none,
 	// and the number of its waiting calls.
 	Room(service ident.Service, rate float64, waiting int)
 	// RoomRefused counts a refused call by reason.
@@ -56,96 +55,98 @@
 }
 
 // Shared reports whether calls to a service are limited.
-func (r *Limiters) Shared(service ident.Service) bool { return r.IsLimited(service) }
+func (l *Limiters) Shared(service ident.Service) bool { return l.IsLimited(service) }
 
-// serviceLimiter is the queue and the retry budget of one service.
+// serviceLimiter holds the queue, the learned rate limit and the retry budget of one service.
 type serviceLimiter struct {
 	gate    admit.Gate
 	retries budget.Budget
 }
 
-func (r *Limiters) limiterOf(service ident.Service) *serviceLimiter {
-	if known, ok := r.byService.Load(service); ok {
+// limiterOf returns the limiter of a service; the first call creates it.
+func (l *Limiters) limiterOf(service ident.Service) *serviceLimiter {
+	if known, ok := l.byService.Load(service); ok {
 		found, _ := known.(*serviceLimiter)
 		return found
 	}
 	created := &serviceLimiter{}
-	created.gate.Clock = r.Clock
+	created.gate.Clock = l.Clock
 	created.gate.Adaptive = &admit.AdaptiveLimiter{
-		SlotShare: func() float64 { return r.slotShare(service) },
-		InUse:     func(server ident.BackendName) bool { return r.inUse(service, server) },
+		SlotShare: func() float64 { return l.slotShare(service) },
+		InUse:     func(server ident.BackendName) bool { return l.inUse(service, server) },
 	}
 	created.gate.SetLimits(0, 0, maxWaiting)
-	actual, _ := r.byService.LoadOrStore(service, created)
+	actual, _ := l.byService.LoadOrStore(service, created)
 	found, _ := actual.(*serviceLimiter)
 	return found
 }
 
 // slotShare returns this instance's even share of the slots of a service's usable servers.
-func (r *Limiters) slotShare(service ident.Service) float64 {
+func (l *Limiters) slotShare(service ident.Service) float64 {
 	total := 0
-	now := r.Clock.Mono()
-	for _, s := range r.Pool.Servers(service) {
+	now := l.Clock.Mono()
+	for _, s := range l.Pool.Servers(service) {
 		if s.Usable(now) {
 			total += s.Slots()
 		}
 	}
-	return float64(total) / float64(max(r.Instances(), 1))
+	return float64(total) / float64(max(l.Instances(), 1))
 }
 
 // inUse reports whether calls may go to a server of a service.
-func (r *Limiters) inUse(service ident.Service, server ident.BackendName) bool {
-	now := r.Clock.Mono()
-	return slices.ContainsFunc(r.Pool.Servers(service), func(s *pool.Server) bool { return s.Name == server && s.Usable(now) })
+func (l *Limiters) inUse(service ident.Service, server ident.BackendName) bool {
+	now := l.Clock.Mono()
+	return slices.ContainsFunc(l.Pool.Servers(service), func(s *pool.Server) bool { return s.Name == server && s.Usable(now) })
 }
 
 // Enter waits until a call may start. On success the caller must call leave once. On a
 // refusal it returns an error of kind NoCapacity with its RetryAfter.
-func (r *Limiters) Enter(ctx context.Context, service ident.Service, request admit.Request) (leave func(), decision admit.Decision, err error) {
-	if !r.Shared(service) {
+func (l *Limiters) Enter(ctx context.Context, service ident.Service, request admit.Request) (leave func(), decision admit.Decision, err error) {
+	if !l.Shared(service) {
 		return func() {}, admit.Decision{Verdict: admit.Start, Reason: "the room is not shared out"}, nil
 	}
-	limiter := r.limiterOf(service)
+	limiter := l.limiterOf(service)
 	limiter.retries.Earn()
 	leave, decision, err = limiter.gate.Enter(ctx, request)
-	if r.Metrics != nil {
-		r.Metrics.Room(service, decision.Rate, decision.Waiting)
+	if l.Metrics != nil {
+		l.Metrics.Room(service, decision.Rate, decision.Waiting)
 	}
 	if err == nil {
 		return leave, decision, nil
 	}
-	if r.Metrics != nil {
-		r.Metrics.RoomRefused(service, decision.Reason)
+	if l.Metrics != nil {
+		l.Metrics.RoomRefused(service, decision.Reason)
 	}
 	refused := fault.Wrap("limits.Enter", NoCapacity, err, "service "+string(service))
 	refused.RetryAfter = decision.RetryAfter
 	return nil, decision, refused
 }
 
-// Note updates the service's rate limit from a backend server's response.
-func (r *Limiters) Note(service ident.Service, s admit.Signal) {
-	if r.Shared(service) {
-		r.limiterOf(service).gate.Observe(s)
+// Note updates the service's learned rate limit from a backend server's response. It does
+// nothing if the service is not limited.
+func (l *Limiters) Note(service ident.Service, s admit.Signal) {
+	if l.Shared(service) {
+		l.limiterOf(service).gate.Observe(s)
 	}
 }
 
 // TryAgain takes one retry from the service's budget; it returns false if none is left.
 // It always returns true if the service is not limited.
-func (r *Limiters) TryAgain(service ident.Service) bool {
-	if !r.Shared(service) || r.limiterOf(service).retries.Spend() {
+func (l *Limiters) TryAgain(service ident.Service) bool {
+	if !l.Shared(service) || l.limiterOf(service).retries.Spend() {
 		return true
 	}
-	if r.Metrics != nil {
-		r.Metrics.TrySaved(service)
+	if l.Metrics != nil {
+		l.Metrics.TrySaved(service)
 	}
 	return false
 }
 
 // ComeBack returns the retry delay for an organisation's caller that was admitted but
 // found the backend servers full; 0 if the service is not limited.
-func (r *Limiters) ComeBack(service ident.Service, by ident.Organisation) clock.Millis {
-	if !r.Shared(service) {
+func (l *Limiters) ComeBack(service ident.Service, organisation ident.Organisation) clock.Millis {
+	if !l.Shared(service) {
 		return 0
 	}
-	return r.limiterOf(service).gate.RetryAfter(by)
+	return l.limiterOf(service).gate.RetryAfter(organisation)
 }
--- a/croftmoor/refuse/refuse.go
+++ b/croftmoor/refuse/refuse.go
@@ -32,7 +32,7 @@
 	Kind Kind
 	What string
 	Do   string
-	// RetryAfter is the retry delay; 0 is not known.
+	// RetryAfter is the retry delay; 0 if it is not known.
 	RetryAfter clock.Millis
 	Err        error
 }
@@ -61,7 +61,8 @@
 	return &Error{Op: op, Kind: kind, What: what, Do: "ask again after RetryAfterMillis", RetryAfter: retry}
 }
 
-// Of returns err as a refusal; an error of another type becomes an OutcomeUnknown.
+// Of returns the refusal that err is or wraps. Any other error becomes the cause of a refusal
+// of kind OutcomeUnknown.
 func Of(err error) *Error {
 	var refusal *Error
 	if eris.As(err, &refusal) {
