--- a/Makefile
+++ b/Makefile
@@ -3,6 +3,9 @@
 PROGRAMS := croftmoor croftctl croftfake croftload
 LINT_VERSION := v2.12.2
 LINT := $(CURDIR)/.tools/golangci-lint-$(LINT_VERSION)
+# A cache of this clone alone: results name files by their full paths, which are gone with
+# another clone.
+LINT_CACHE := $(CURDIR)/.tools/lint-cache
 GOPLS_VERSION := v0.22.0
 GOPLS := $(CURDIR)/.tools/gopls-$(GOPLS_VERSION)
 
@@ -39,7 +42,7 @@
 
 lint: $(LINT)
 	@test -z "$$(gofmt -l $(MODULES))" || { echo "not formatted:"; gofmt -l $(MODULES); exit 1; }
-	@for m in $(MODULES); do (cd $$m && $(LINT) run --allow-parallel-runners --config $(CURDIR)/.golangci.yml ./...) || exit 1; done
+	@for m in $(MODULES); do (cd $$m && GOLANGCI_LINT_CACHE=$(LINT_CACHE) $(LINT) run --allow-parallel-runners --config $(CURDIR)/.golangci.yml ./...) || exit 1; done
 
 # Longer runs of the state machine models than plain tests make.
 models:
